--- a/admission/controller.go
+++ b/admission/controller.go
@@ -9,34 +9,34 @@
 	"lovagelane/kernel"
 )
 
-// Item is a call that asks to run on the backend server.
+// Item is a call that arrives at the backend server.
 type Item struct {
 	// ID is unique among the calls that are queued or in flight.
 	ID        uint64
 	Priority  call.Priority
 	Operation string
 	Caller    string
-	// Deadline is the time by which the call must have finished; the zero time means none.
+	// Deadline is the time by which the call must finish; the zero time means that there is no deadline.
 	Deadline time.Time
 }
 
-// Verdict is the answer to an arriving call: Start, Wait or Refuse.
-type Verdict interface{ verdict() }
+// Decision is the result of Arrive: Start, Wait or Refuse.
+type Decision interface{ decision() }
 
 // Start means that the call runs now.
 type Start struct{}
 
-// Wait means that the call is queued and that a later Event settles it.
+// Wait means that the call is queued; a later Event starts or drops it.
 type Wait struct{}
 
 // Refuse means that the call is not run.
 type Refuse struct{ Reason call.Reason }
 
-func (Start) verdict()  {}
-func (Wait) verdict()   {}
-func (Refuse) verdict() {}
+func (Start) decision()  {}
+func (Wait) decision()   {}
+func (Refuse) decision() {}
 
-// Event settles a queued call: Started or Dropped.
+// Event is the outcome of a queued call: Started or Dropped.
 type Event interface{ event() }
 
 // Started means that the queued call runs now.
@@ -51,16 +51,16 @@
 func (Started) event() {}
 func (Dropped) event() {}
 
-// Sample is what was observed of a call that finished.
+// Sample holds the measurements of a finished call.
 type Sample struct {
 	Latency time.Duration
-	// Failed marks a call whose latency says nothing about the backend server's capacity.
+	// Failed excludes the latency from the limit and the service time, because it does not reflect the capacity.
 	Failed bool
 }
 
-// Config bounds a controller by what the inventory states.
+// Config holds the limiter and the slots of a backend server from the inventory.
 type Config struct {
-	// Limiter is the name of a registered limiter plug-in; empty means "learned".
+	// Limiter is the name of a registered limiter plug-in; the default is "learned".
 	Limiter string
 	// Slots is the number of calls that the backend server can run at once.
 	Slots int
@@ -69,56 +69,58 @@
 const (
 	// TickInterval is the period at which Tick must be called.
 	TickInterval = 10 * time.Millisecond
-	// windowInterval is the period at which the admission level moves.
+	// windowInterval is the period at which the admission level is updated.
 	windowInterval = 50 * time.Millisecond
-	// delayTarget is the time in the queue after which a call that the level no longer admits is dropped.
+	// delayTarget is the queueing delay above which a call that the level no longer admits is dropped.
 	delayTarget = 5 * time.Millisecond
-	// standingQueue is the length of the queue, as a multiple of the limit, that must remain for a whole window before the
-	// level tightens. With 1 instead of 2, backend servers with few slots lost 10% of their goodput.
-	standingQueue = 2
-	// queuePerSlot bounds the queue as a multiple of the limit.
-	queuePerSlot = 4
-	// standingSlack and queueSlack are added to the limit before it is multiplied. With one or two slots a few calls more
-	// or less are chance, and without the slack such backend servers lost 5% more of their goodput.
-	standingSlack = 1
-	queueSlack    = 3
+	// standingQueueFactor is the queue length, as a multiple of the limit, that must persist for a whole window before the
+	// level tightens. With 1 instead of 2, backend servers with few slots lose 10% of their goodput.
+	standingQueueFactor = 2
+	// queueBoundFactor is the maximum queue length as a multiple of the limit.
+	queueBoundFactor = 4
+	// standingQueueSlack and queueBoundSlack are added to the limit before the multiplication. With one or two slots, the
+	// queue length varies by a few calls at random; without the slack such backend servers lose 5% more of their goodput.
+	standingQueueSlack = 1
+	queueBoundSlack    = 3
 )
 
 // Controller admits calls for one backend server; the caller serializes access to it.
 type Controller struct {
-	slots   int
-	limiter Limiter
-	level   level
-	ops     operations
-	running runningSet
-	queue   queue
-	guard   guard
-
-	// lastFinish is when a call last finished.
+	slots    int
+	limiter  Limiter
+	level    level
+	ops      operations
+	running  runningSet
+	queue    queue
+	bulkhead bulkhead
+
+	// lastFinish is the time at which a call last finished.
 	lastFinish time.Time
 	window     window
-	// pending holds the events of Arrive, which returns none itself.
+	// pending holds the events that no method has returned yet; Arrive adds events but returns none.
 	pending []Event
 }
 
-// window holds the counts since the level last moved.
+// window holds the counts since the last update of the level.
 type window struct {
-	began    time.Time
+	start    time.Time
 	admitted int
 	served   int
 	dropped  int
-	// saturated is set when all slots were in use.
+	// saturated is set when the calls in flight reached the learned limit.
 	saturated bool
-	// shortest is the smallest length of the queue.
-	shortest int
-	// inUse and usable sum up the calls in flight and the limit at each tick.
-	inUse, usable int
+	// minQueueLen is the minimum length of the queue.
+	minQueueLen int
+	// inFlightSum and limitSum are the sums of the calls in flight and of the limit over all ticks.
+	inFlightSum, limitSum int
 }
 
-// use returns the part of the usable slots that was in use.
-func (w window) use() float64 { return min(1, float64(w.inUse)/float64(max(w.usable, 1))) }
+// utilization returns the average share of the limit that was in use.
+func (w window) utilization() float64 {
+	return min(1, float64(w.inFlightSum)/float64(max(w.limitSum, 1)))
+}
 
-// New returns a controller for the given bounds, or an error for an unknown limiter.
+// New returns a controller, or an error if the limiter is not registered.
 func New(cfg Config) (*Controller, error) {
 	name := cfg.Limiter
 	if name == "" {
@@ -133,20 +135,20 @@
 		limiter: create(),
 		level:   newLevel(),
 		ops:     operations{table: kernel.NewTable[string, operation](maxOperations)},
-		running: runningSet{byID: map[uint64]*running{}},
+		running: runningSet{byID: map[uint64]*runningCall{}},
 		queue:   queue{byID: map[uint64]*entry{}},
 	}, nil
 }
 
-// SetSlots changes the bound on calls in flight when a new configuration takes force.
+// SetSlots changes the number of slots when a new configuration takes effect.
 func (c *Controller) SetSlots(slots int) { c.slots = max(slots, 1) }
 
-// Arrive decides on a call; after Wait an Event from a later method settles it.
-func (c *Controller) Arrive(now time.Time, item Item) Verdict {
-	if c.known(item.ID) {
+// Arrive starts, queues or refuses a call; after Wait, a later method returns the Event for the call.
+func (c *Controller) Arrive(now time.Time, item Item) Decision {
+	if c.hasID(item.ID) {
 		return Refuse{Reason: call.ReasonBadRequest}
 	}
-	op := c.ops.find(now, item.Operation)
+	op := c.ops.recordArrival(now, item.Operation)
 	if c.unlimited() {
 		c.running.start(now, item.ID, op)
 		return Start{}
@@ -154,28 +156,28 @@
 	if !c.level.admit(item.Priority) {
 		return Refuse{Reason: call.ReasonShed}
 	}
-	if tooLate(now, item.Deadline, op) {
+	if missesDeadline(now, item.Deadline, op) {
 		return Refuse{Reason: call.ReasonDeadline}
 	}
-	if c.running.len() < c.limit(now) && c.queue.free.n == 0 && c.guard.permits(op, c.limit(now)) {
+	if c.running.len() < c.limit(now) && c.queue.unrestricted.n == 0 && c.bulkhead.permits(op, c.limit(now)) {
 		c.start(now, item.ID, op)
 		c.window.admitted++
 		return Start{}
 	}
 	if c.queue.len() >= c.queueBound(now) {
-		worst := c.queue.worst()
-		if worst.item.Priority.Key() <= item.Priority.Key() {
+		victim := c.queue.leastImportant()
+		if victim.item.Priority.Key() <= item.Priority.Key() {
 			c.window.dropped++
 			return Refuse{Reason: call.ReasonQueueFull}
 		}
-		c.drop(worst, call.ReasonQueueFull)
+		c.drop(victim, call.ReasonQueueFull)
 	}
-	c.queue.push(now, item, op, c.guard.holds(op))
+	c.queue.push(now, item, op, c.bulkhead.restricts(op))
 	c.window.admitted++
 	return Wait{}
 }
 
-// Finish frees the slot of a call that ran.
+// Finish frees the slot of a finished call and updates the limiter with its sample.
 func (c *Controller) Finish(now time.Time, id uint64, s Sample) []Event {
 	op, started, ok := c.running.finish(id)
 	if !ok {
@@ -193,14 +195,14 @@
 	return c.events()
 }
 
-// Cancel removes a queued call whose caller gave up, and no event follows for it; a call that runs must be ended with
+// Cancel removes a queued call whose caller cancelled it; no event follows for it. A call in flight must be ended with
 // Finish.
 func (c *Controller) Cancel(now time.Time, id uint64) []Event {
 	if e, ok := c.queue.byID[id]; ok {
 		c.queue.remove(e)
-		c.noteLength()
+		c.updateMinQueueLen()
 	}
-	// The call may have been dropped by Arrive, whose event was not returned yet.
+	// Arrive may have dropped the call in favor of another one, and its event is still pending.
 	c.pending = slices.DeleteFunc(c.pending, func(event Event) bool {
 		dropped, ok := event.(Dropped)
 		return ok && dropped.ID == id
@@ -208,29 +210,30 @@
 	return c.events()
 }
 
-// Tick adjusts limit and level and drops queued calls whose deadline is too near; call it every TickInterval.
+// Tick updates the level and drops queued calls that would miss their deadline or are no longer admitted. It must be called
+// every TickInterval.
 func (c *Controller) Tick(now time.Time) []Event {
 	if c.unlimited() {
 		return nil
 	}
-	c.running.markOverdue(now, &c.ops)
-	if c.guard.update(now, c.learnedLimit(), &c.running, &c.ops) {
-		c.queue.regroup(c.guard.op)
+	c.running.countStragglers(now, &c.ops)
+	if c.bulkhead.update(now, c.learnedLimit(), &c.running, &c.ops) {
+		c.queue.setRestricted(c.bulkhead.restricted)
 	}
-	c.dropLate(now)
-	c.dropShed(now)
+	c.dropMissedDeadlines(now)
+	c.shedQueued(now)
 	for c.queue.len() > c.queueBound(now) {
-		c.drop(c.queue.worst(), call.ReasonQueueFull)
+		c.drop(c.queue.leastImportant(), call.ReasonQueueFull)
 	}
 	c.dispatch(now)
 	c.closeWindow(now)
 	return c.events()
 }
 
-// Level returns the least important priority that is admitted now.
+// Level returns the least important priority that is currently admitted.
 func (c *Controller) Level() call.Priority { return c.level.priority() }
 
-// Load returns the load report for answers.
+// Load returns the load report that is attached to answers.
 func (c *Controller) Load() call.Load {
 	return call.Load{
 		InFlight: clamp16(c.running.len()),
@@ -245,22 +248,24 @@
 
 func (c *Controller) learnedLimit() int { return max(1, c.limiter.Limit(c.slots)) }
 
-// limit returns the bound on calls in flight. Stragglers wait more than they work, so they do not count against a learned
-// limit below the slots. Without recent finishes long calls are the sign of a stall, which earns no more calls.
+// limit returns the bound on calls in flight. Stragglers mostly wait and use little capacity, so they do not count against a
+// learned limit below the slots. If no call finished recently, long calls indicate a stall and the limit is not extended.
 func (c *Controller) limit(now time.Time) int {
 	limit := c.learnedLimit()
-	if c.running.overdue == 0 || limit >= c.slots {
+	if c.running.stragglers == 0 || limit >= c.slots {
 		return limit
 	}
-	if now.Sub(c.lastFinish) > overdueFactor*c.ops.all.usual() {
+	if now.Sub(c.lastFinish) > stragglerFactor*c.ops.all.stragglerBaseline() {
 		return limit
 	}
-	return min(c.slots, limit+min(limit, c.running.overdue))
+	return min(c.slots, limit+min(limit, c.running.stragglers))
 }
 
-func (c *Controller) queueBound(now time.Time) int { return queuePerSlot * (c.limit(now) + queueSlack) }
+func (c *Controller) queueBound(now time.Time) int {
+	return queueBoundFactor * (c.limit(now) + queueBoundSlack)
+}
 
-func (c *Controller) known(id uint64) bool {
+func (c *Controller) hasID(id uint64) bool {
 	if _, ok := c.running.byID[id]; ok {
 		return true
 	}
@@ -282,53 +287,54 @@
 		if c.running.len() >= limit {
 			return
 		}
-		e := c.queue.best(c.level.overloaded, c.guard.permits(c.guard.op, limit))
+		e := c.queue.peek(c.level.overloaded, c.bulkhead.permits(c.bulkhead.restricted, limit))
 		if e == nil {
 			return
 		}
-		if tooLate(now, e.item.Deadline, e.op) {
-			c.dropWaited(now, e, call.ReasonDeadline)
+		if missesDeadline(now, e.item.Deadline, e.op) {
+			c.dropForDeadline(now, e, call.ReasonDeadline)
 			continue
 		}
 		id, op := e.item.ID, e.op
 		c.queue.remove(e)
-		c.noteLength()
+		c.updateMinQueueLen()
 		c.start(now, id, op)
 		c.pending = append(c.pending, Started{ID: id})
 	}
 }
 
-// dropLate drops the calls that can no longer finish before their deadline.
-func (c *Controller) dropLate(now time.Time) {
-	for len(c.queue.due) > 0 && c.queue.due[0].latest.Before(now) {
-		c.dropWaited(now, c.queue.due[0], call.ReasonDeadline)
+// dropMissedDeadlines drops the queued calls that can no longer finish before their deadline.
+func (c *Controller) dropMissedDeadlines(now time.Time) {
+	for len(c.queue.byLatestStart) > 0 && c.queue.byLatestStart[0].latestStart.Before(now) {
+		c.dropForDeadline(now, c.queue.byLatestStart[0], call.ReasonDeadline)
 	}
 }
 
-// dropShed drops the calls that the level no longer admits, so that their callers learn it at once. A queue up to the
-// limit is left alone: it is served soon, and dropping it for every small move of the level leaves slots idle.
-func (c *Controller) dropShed(now time.Time) {
+// shedQueued drops the queued calls that the level no longer admits, so that their callers get the refusal early. A queue up
+// to the limit is kept: it is served soon, and shedding it on every small change of the level would leave slots idle.
+func (c *Controller) shedQueued(now time.Time) {
 	for c.queue.len() > c.limit(now) {
-		e := c.queue.worst()
+		e := c.queue.leastImportant()
 		if e.item.Priority.AdmittedBy(c.level.priority()) || now.Sub(e.arrived) <= delayTarget {
 			return
 		}
 		c.pending = append(c.pending, Dropped{ID: e.id, Reason: call.ReasonShed})
 		c.queue.remove(e)
 	}
-	c.noteLength()
+	c.updateMinQueueLen()
 }
 
-// drop counts a drop that says that more was admitted than can be served.
+// drop drops a queued call and counts it as a sign that more calls were admitted than can be served.
 func (c *Controller) drop(e *entry, reason call.Reason) {
 	c.window.dropped++
 	c.pending = append(c.pending, Dropped{ID: e.id, Reason: reason})
 	c.queue.remove(e)
-	c.noteLength()
+	c.updateMinQueueLen()
 }
 
-// dropWaited drops a call; a call that had hardly waited came with too little time and is no sign of overload.
-func (c *Controller) dropWaited(now time.Time, e *entry, reason call.Reason) {
+// dropForDeadline drops a call that would miss its deadline. A call that waited no longer than delayTarget arrived with too
+// little time left and is not counted as a sign of overload.
+func (c *Controller) dropForDeadline(now time.Time, e *entry, reason call.Reason) {
 	waited := now.Sub(e.arrived) > delayTarget
 	c.drop(e, reason)
 	if !waited {
@@ -336,20 +342,22 @@
 	}
 }
 
-func (c *Controller) noteLength() { c.window.shortest = min(c.window.shortest, c.queue.len()) }
+func (c *Controller) updateMinQueueLen() {
+	c.window.minQueueLen = min(c.window.minQueueLen, c.queue.len())
+}
 
 func (c *Controller) closeWindow(now time.Time) {
-	if c.window.began.IsZero() {
-		c.window.began = now
+	if c.window.start.IsZero() {
+		c.window.start = now
 	}
-	c.window.inUse += c.running.len()
-	c.window.usable += c.limit(now)
-	if now.Sub(c.window.began) < windowInterval {
+	c.window.inFlightSum += c.running.len()
+	c.window.limitSum += c.limit(now)
+	if now.Sub(c.window.start) < windowInterval {
 		return
 	}
-	// A shorter queue keeps the slots in use and delays a call by no more than about twice its own service time.
-	c.level.move(c.window, c.window.shortest > standingQueue*(c.limit(now)+standingSlack))
-	c.window = window{began: now, saturated: c.running.len() >= c.learnedLimit(), shortest: c.queue.len()}
+	// A shorter queue keeps the slots busy and delays a call by at most about twice its own service time.
+	c.level.update(c.window, c.window.minQueueLen > standingQueueFactor*(c.limit(now)+standingQueueSlack))
+	c.window = window{start: now, saturated: c.running.len() >= c.learnedLimit(), minQueueLen: c.queue.len()}
 }
 
 func (c *Controller) events() []Event {
@@ -358,7 +366,7 @@
 	return events
 }
 
-// tooLate reports whether a call of the operation would miss its deadline if it started now.
-func tooLate(now, deadline time.Time, op *operation) bool {
+// missesDeadline reports whether a call of the operation would miss its deadline if it started now.
+func missesDeadline(now, deadline time.Time, op *operation) bool {
 	return !deadline.IsZero() && now.Add(op.estimate(now)).After(deadline)
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -19,16 +19,16 @@
 	return c
 }
 
-// occupy starts n calls with ids from 1000000.
+// occupy starts n calls with IDs from 1000000.
 func occupy(t require.TestingT, c *admission.Controller, now time.Time, n int) {
 	for i := range n {
 		require.Equal(t, admission.Start{}, c.Arrive(now, admission.Item{ID: uint64(1000000 + i), Operation: "busy"}))
 	}
 }
 
-// Guards against a queue that serves in the wrong order: classes first, then requests within the fair share, then callers
-// in turn, each caller's calls by arrival.
-// Mutation: without the turn to the next line in order.remove, caller a's calls come first.
+// Guards against a wrong service order. The order is by class, then requests within the fair share before excess, then callers
+// in round-robin order, and the calls of one caller by arrival.
+// Mutation: without the change of the head to the next caller in fairQueue.remove, caller a's calls come first.
 func TestQueueOrder(t *testing.T) {
 	c := newController(t, "fixed", 1)
 	occupy(t, c, epoch, 1)
@@ -54,8 +54,8 @@
 	require.Equal(t, []uint64{4, 0, 2, 1, 3, 5}, order)
 }
 
-// Guards against serving the oldest calls first at overload, when they have used up most of their time.
-// Mutation: best taking the oldest always.
+// Guards against serving the oldest calls first during overload, when they have used up most of their time.
+// Mutation: fairQueue.peek always returning the oldest call.
 func TestNewestFirstAtOverload(t *testing.T) {
 	c := newController(t, "fixed", 1)
 	occupy(t, c, epoch, 1)
@@ -68,13 +68,13 @@
 	require.Equal(t, []admission.Event{admission.Started{ID: 16}}, events)
 }
 
-// Guards against a full queue that keeps a less important call, or that drops one for an arrival of the same importance.
-// Mutation: worstHeap.Less turned round, or < in place of <= in Arrive.
+// Guards against a full queue that keeps a less important call, or that drops a call for an arrival of the same importance.
+// Mutation: importanceHeap.Less reversed, or < in place of <= in Arrive.
 func TestFullQueueDropsTheLeastImportant(t *testing.T) {
 	c := newController(t, "fixed", 1)
 	occupy(t, c, epoch, 1)
 	id := uint64(0)
-	arrive := func(rank, value uint8) admission.Verdict {
+	arrive := func(rank, value uint8) admission.Decision {
 		id++
 		return c.Arrive(epoch, admission.Item{ID: id, Caller: "a", Priority: call.Priority{Rank: rank, Value: value}})
 	}
@@ -88,15 +88,16 @@
 	require.Equal(t, uint16(16), c.Load().Queued)
 }
 
-// Guards against work that is started although it cannot finish in time, and against an estimate that refuses for ever.
+// Guards against starting calls that cannot finish before their deadline, and against an estimate that never decays and so
+// refuses all later calls.
 // Mutation: estimate returning 0, or without its half-life.
 func TestDeadlines(t *testing.T) {
 	c := newController(t, "fixed", 1)
 	now := epoch
 	id := uint64(0)
-	item := func(patience time.Duration) admission.Item {
+	item := func(timeout time.Duration) admission.Item {
 		id++
-		return admission.Item{ID: id, Operation: "order", Deadline: now.Add(patience)}
+		return admission.Item{ID: id, Operation: "order", Deadline: now.Add(timeout)}
 	}
 	for range 10 {
 		i := item(time.Second)
@@ -119,8 +120,8 @@
 	require.Equal(t, admission.Start{}, c.Arrive(now, item(90*time.Millisecond)))
 }
 
-// Guards against calls that are refused by their deadline because a stall made every call in flight slow.
-// Mutation: riseInterval = 0.
+// Guards against refusing calls because of their deadline after a stall made every call in flight slow.
+// Mutation: doublingInterval = 0.
 func TestStallDoesNotInflateTheServiceTime(t *testing.T) {
 	c := newController(t, "fixed", 20)
 	now := epoch
@@ -131,12 +132,12 @@
 			c.Finish(now, uint64(1000000+i), admission.Sample{Latency: took})
 		}
 	}
-	verdict := c.Arrive(now, admission.Item{ID: 1, Operation: "busy", Deadline: now.Add(100 * time.Millisecond)})
-	require.Equal(t, admission.Start{}, verdict)
+	decision := c.Arrive(now, admission.Item{ID: 1, Operation: "busy", Deadline: now.Add(100 * time.Millisecond)})
+	require.Equal(t, admission.Start{}, decision)
 }
 
-// Guards against a call that is started and dropped, settled twice or never, started beyond the limit, shed while a less
-// important one of the same window is admitted, and against a queue without bound.
+// Guards against a queued call that gets no event or more than one, a start beyond the limit, shedding a call while a less
+// important one of the same window is admitted, and an unbounded queue. The steps are random.
 // Mutation: Cancel without queue.remove, Cancel without the removal from pending, dispatch without the limit.
 func TestSettlesEveryCallOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -180,19 +181,19 @@
 	})
 }
 
-// model follows the calls of one controller.
+// model tracks the queued and running calls of one controller and checks its decisions and events.
 type model struct {
-	t                  *rapid.T
-	c                  *admission.Controller
-	now                time.Time
-	id                 uint64
-	queued             map[uint64]admission.Item
-	running            map[uint64]time.Time
-	order              []uint64
-	admitted, refusedS int
+	t                          *rapid.T
+	c                          *admission.Controller
+	now                        time.Time
+	id                         uint64
+	queued                     map[uint64]admission.Item
+	running                    map[uint64]time.Time
+	order                      []uint64
+	maxAdmittedKey, minShedKey int
 }
 
-func (m *model) newWindow() { m.admitted, m.refusedS = -1, 1<<16 }
+func (m *model) newWindow() { m.maxAdmittedKey, m.minShedKey = -1, 1<<16 }
 
 func (m *model) any(seed uint64) (uint64, bool) {
 	id := uint64(0)
@@ -218,16 +219,16 @@
 		switch v := m.c.Arrive(m.now, item).(type) {
 		case admission.Start:
 			m.start(item.ID)
-			m.admitted = max(m.admitted, key)
+			m.maxAdmittedKey = max(m.maxAdmittedKey, key)
 		case admission.Wait:
 			m.queued[item.ID] = item
-			m.admitted = max(m.admitted, key)
+			m.maxAdmittedKey = max(m.maxAdmittedKey, key)
 		case admission.Refuse:
 			if v.Reason == call.ReasonShed {
-				m.refusedS = min(m.refusedS, key)
+				m.minShedKey = min(m.minShedKey, key)
 			}
 		}
-		require.Less(m.t, m.admitted, m.refusedS, "a more important call was shed")
+		require.Less(m.t, m.maxAdmittedKey, m.minShedKey, "a more important call was shed")
 		load := m.c.Load()
 		require.LessOrEqual(m.t, int(load.Queued), 4*(40+3))
 	}
@@ -245,9 +246,9 @@
 	for len(m.order) > 0 {
 		id := m.order[0]
 		m.order = m.order[1:]
-		if began, ok := m.running[id]; ok {
+		if started, ok := m.running[id]; ok {
 			delete(m.running, id)
-			m.settle(m.c.Finish(m.now, id, admission.Sample{Latency: m.now.Sub(began), Failed: failed}))
+			m.settle(m.c.Finish(m.now, id, admission.Sample{Latency: m.now.Sub(started), Failed: failed}))
 			return
 		}
 	}
@@ -267,8 +268,9 @@
 	}
 }
 
-// Guards against a repeated id that runs twice, and against Finish and Cancel of unknown calls that change the counts.
-// Mutation: Arrive without the check of known ids.
+// Guards against a repeated ID that runs twice, and against Finish of an unknown call or Cancel of a running call that changes
+// the counts.
+// Mutation: Arrive without the check of hasID.
 func TestUnknownAndRepeatedIDs(t *testing.T) {
 	c := newController(t, "learned", 2)
 	occupy(t, c, epoch, 1)
@@ -278,12 +280,12 @@
 	require.Equal(t, uint16(1), c.Load().InFlight)
 }
 
-// Guards against memory that grows with the names of operations and callers, which callers can choose.
+// Guards against unbounded memory for the names of operations and callers, which callers choose.
 // Mutation: maxOperations of 1<<30 uses more than 10 MB.
 func TestTablesAreBounded(t *testing.T) {
 	c := newController(t, "learned", 4)
 	occupy(t, c, epoch, 4)
-	run := func(from, to uint64) uint64 {
+	heapAfter := func(from, to uint64) uint64 {
 		for id := from; id < to; id++ {
 			name := fmt.Sprint("name-", id)
 			c.Arrive(epoch, admission.Item{ID: id, Operation: name, Caller: name})
@@ -294,8 +296,8 @@
 		runtime.ReadMemStats(&stats)
 		return stats.HeapAlloc
 	}
-	before := run(0, 1000)
-	require.Less(t, run(1000, 50000), before+1<<20)
+	before := heapAfter(0, 1000)
+	require.Less(t, heapAfter(1000, 50000), before+1<<20)
 	runtime.KeepAlive(c)
 }
 
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -7,25 +7,26 @@
 	"lovagelane/kernel"
 )
 
-// Unlimited is the limit of a limiter that admits everything without a queue.
+// Unlimited is the limit of a limiter that admits every call without a queue.
 const Unlimited = math.MaxInt
 
-// Observation is what a limiter learns from a call that finished.
+// Observation holds the measurements of a finished call for a limiter.
 type Observation struct {
 	Now     time.Time
 	Started time.Time
-	// Latency is relative to the usual latency of the call's operation, so that the mix of operations does not matter.
+	// Latency is relative to the reference latency of the call's operation, so that it does not depend on the mix of
+	// operations; 0 means that the operation has no reference yet.
 	Latency float64
-	// Saturated is set when the limit was reached lately.
+	// Saturated is set when the limit was reached in the current window.
 	Saturated bool
 	Slots     int
 }
 
 // Limiter bounds the calls in flight; the controller serializes access to it.
 type Limiter interface {
-	// Limit returns the bound, which is in [1, slots] or Unlimited.
+	// Limit returns the maximum number of calls in flight, which is in [1, slots] or Unlimited.
 	Limit(slots int) int
-	// Observe learns from a call that finished.
+	// Observe updates the limit with a finished call.
 	Observe(o Observation)
 }
 
@@ -33,18 +34,18 @@
 var Limiters kernel.Registry[func() Limiter]
 
 func init() {
-	Limiters.Register("none", func() Limiter { return none{} })
-	Limiters.Register("fixed", func() Limiter { return fixed{} })
+	Limiters.Register("none", func() Limiter { return noneLimiter{} })
+	Limiters.Register("fixed", func() Limiter { return fixedLimiter{} })
 }
 
-// none is the baseline without limit, queue and shedding.
-type none struct{}
+// noneLimiter is the baseline without limit, queue or load shedding.
+type noneLimiter struct{}
 
-func (none) Limit(int) int       { return Unlimited }
-func (none) Observe(Observation) {}
+func (noneLimiter) Limit(int) int       { return Unlimited }
+func (noneLimiter) Observe(Observation) {}
 
-// fixed is the baseline whose limit is the number of slots.
-type fixed struct{}
+// fixedLimiter is the baseline whose limit is the number of slots.
+type fixedLimiter struct{}
 
-func (fixed) Limit(slots int) int { return slots }
-func (fixed) Observe(Observation) {}
+func (fixedLimiter) Limit(slots int) int { return slots }
+func (fixedLimiter) Observe(Observation) {}
--- a/admission/operation.go
+++ b/admission/operation.go
@@ -8,98 +8,100 @@
 )
 
 const (
-	// maxOperations bounds the operations that a service time is kept for.
+	// maxOperations bounds the table of operations.
 	maxOperations = 256
-	// ringSize is the number of latest calls of an operation whose median is its service time.
-	ringSize = 15
-	// fewCalls is the number of calls from which the median of an operation is trusted.
-	fewCalls = 5
-	// estimateHalfLife is the time without a finished call in which the estimate halves. Without it, an estimate taken
-	// during a stall would refuse every call by its deadline and never be corrected.
+	// latencyWindow is the number of latest calls of an operation whose median is its service time.
+	latencyWindow = 15
+	// minTrustedCalls is the number of calls from which the median of an operation is used.
+	minTrustedCalls = 5
+	// estimateHalfLife is the time without a finished call after which the estimate halves. Without it, an estimate from a
+	// stall would refuse every call because of its deadline and never be corrected.
 	estimateHalfLife = time.Second
-	// riseInterval is the time in which the service time at most doubles. After a stall all calls in flight finish at once
-	// with its length; taken at face value, that would refuse the calls that wait by their deadline.
-	riseInterval = 100 * time.Millisecond
-	// minUsual is the smallest usual time from which stragglers are judged.
-	minUsual = 2 * time.Millisecond
+	// doublingInterval is the time in which the service time at most doubles. After a stall, all calls in flight finish at
+	// once with a latency as long as the stall; used unbounded, it would drop the waiting calls because of their deadline.
+	doublingInterval = 100 * time.Millisecond
+	// minStragglerBaseline is the minimum service time to which stragglers are compared.
+	minStragglerBaseline = 2 * time.Millisecond
 )
 
-// operations holds what is learned of each operation.
+// operations holds the statistics of each operation.
 type operations struct {
 	table *kernel.Table[string, operation]
-	// all is the mix of all operations.
+	// all holds the statistics of all operations together.
 	all operation
 }
 
 // operation holds the latest latencies and the calls in flight of one operation.
 type operation struct {
-	ring [ringSize]time.Duration
-	n    int
-	// typical is the median of the ring, bounded in its rise.
-	typical  time.Duration
-	raised   time.Time
-	observed time.Time
-	// reference is the first median, the unit in which latencies of different operations are compared.
-	reference time.Duration
-	arrived   time.Time
-	inFlight  int
-	// overdue is the number of calls in flight that run far longer than usual.
-	overdue int
+	latencies [latencyWindow]time.Duration
+	n         int
+	// serviceTime is the median of latencies; it at most doubles per doublingInterval.
+	serviceTime        time.Duration
+	serviceTimeChanged time.Time
+	lastObserved       time.Time
+	// reference is the first trusted service time. Latencies are divided by it, so that operations are comparable.
+	reference   time.Duration
+	lastArrival time.Time
+	inFlight    int
+	// stragglers is the number of calls in flight that run far longer than the service time.
+	stragglers int
 }
 
-func (o *operations) find(now time.Time, name string) *operation {
+func (o *operations) recordArrival(now time.Time, name string) *operation {
 	op := o.table.Put(name)
-	op.arrived = now
+	op.lastArrival = now
 	return op
 }
 
-// othersSince reports whether a call of another operation arrived since t.
+// othersSince reports whether a call of another operation arrived after t.
 func (o *operations) othersSince(op *operation, t time.Time) bool {
 	found := false
 	o.table.Each(func(_ string, other *operation) bool {
-		found = found || other != op && other.arrived.After(t)
+		found = found || other != op && other.lastArrival.After(t)
 		return true
 	})
 	return found
 }
 
-// observe records a latency and returns it relative to the operation's reference, or 0 while there is no reference.
+// observe records a latency and returns it relative to the reference, or 0 while there is no reference.
 func (o *operation) observe(now time.Time, latency time.Duration) float64 {
 	latency = max(latency, 1)
-	o.ring[o.n%ringSize] = latency
+	o.latencies[o.n%latencyWindow] = latency
 	o.n++
-	sorted := o.ring
-	known := sorted[:min(o.n, ringSize)]
-	slices.Sort(known)
-	o.follow(now, known[len(known)/2])
+	sorted := o.latencies
+	recent := sorted[:min(o.n, latencyWindow)]
+	slices.Sort(recent)
+	o.updateServiceTime(now, recent[len(recent)/2])
 	if o.reference == 0 {
-		if o.n < fewCalls {
+		if o.n < minTrustedCalls {
 			return 0
 		}
-		o.reference = o.typical
+		o.reference = o.serviceTime
 	}
 	return float64(latency) / float64(o.reference)
 }
 
-// follow sets the typical latency from the median.
-func (o *operation) follow(now time.Time, median time.Duration) {
+// updateServiceTime sets the service time from the median and bounds its growth.
+func (o *operation) updateServiceTime(now time.Time, median time.Duration) {
 	switch {
-	case o.n <= fewCalls || median < o.typical:
-		o.typical, o.raised = median, now
-	case now.Sub(o.raised) >= riseInterval:
-		o.typical, o.raised = min(median, 2*o.typical), now
+	case o.n <= minTrustedCalls || median < o.serviceTime:
+		o.serviceTime, o.serviceTimeChanged = median, now
+	case now.Sub(o.serviceTimeChanged) >= doublingInterval:
+		o.serviceTime, o.serviceTimeChanged = min(median, 2*o.serviceTime), now
 	}
-	o.observed = now
+	o.lastObserved = now
 }
 
-// estimate returns the time that a call of the operation takes, or 0 when it is not known.
+// estimate returns the expected service time of a call, or 0 if it is unknown.
 func (o *operation) estimate(now time.Time) time.Duration {
-	age := now.Sub(o.observed) / estimateHalfLife
-	if o.n < fewCalls || age > 30 {
+	age := now.Sub(o.lastObserved) / estimateHalfLife
+	if o.n < minTrustedCalls || age > 30 {
 		return 0
 	}
-	return o.typical >> max(age, 0)
+	return o.serviceTime >> max(age, 0)
 }
 
-// usual returns the time from which stragglers of the operation are judged.
-func (o *operation) usual() time.Duration { return max(o.typical, minUsual) }
+// stragglerBaseline returns the service time to which stragglers of the operation are compared.
+func (o *operation) stragglerBaseline() time.Duration {
+	return max(o.serviceTime, minStragglerBaseline)
+}
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -16,19 +16,19 @@
 	mean    = 20 * time.Millisecond
 	slots   = 35
 	seconds = time.Second
-	// capacity is the calls a second that the simulated backend server can finish.
+	// capacity is the number of calls per second that the simulated backend server can finish.
 	capacity = slots * 50
 )
 
 func paying(rate func(time.Duration) float64) *stream {
-	return &stream{op: "pay", caller: "a", rank: 1, rate: rate, mean: mean, patience: time.Second}
+	return &stream{op: "pay", caller: "a", rank: 1, rate: rate, mean: mean, timeout: time.Second}
 }
 
 func browsing(rate func(time.Duration) float64) *stream {
-	return &stream{op: "map", caller: "b", rank: 5, rate: rate, mean: mean, patience: time.Second}
+	return &stream{op: "map", caller: "b", rank: 5, rate: rate, mean: mean, timeout: time.Second}
 }
 
-// Guards against overload that costs goodput or sheds an important class that fits the capacity.
+// Guards against overload that reduces goodput or sheds an important class that fits the capacity.
 // Mutation: with servedFloor = 0 the goodput of cases with a width falls below 90%; with the value in place of the whole
 // priority in level.admit the important class is shed.
 func TestOverloadKeepsGoodputAndClasses(t *testing.T) {
@@ -55,55 +55,55 @@
 	}
 }
 
-// Guards against a swing of demand that is answered late, and against a level that stays strict afterwards.
-// Mutation: without the doubling in relax, calls are refused until 4.5 s after the swing.
-func TestSwingOfDemand(t *testing.T) {
-	for _, usual := range []float64{0.1, 0.5, 0.9} {
-		browse := browsing(between(2*seconds, 4*seconds, 10*usual*capacity, usual*capacity))
+// Guards against low goodput during a demand surge, and against a level that stays strict after it.
+// Mutation: without the doubling in relax, calls are refused until 4.5 s after the surge.
+func TestDemandSurge(t *testing.T) {
+	for _, baseline := range []float64{0.1, 0.5, 0.9} {
+		browse := browsing(between(2*seconds, 4*seconds, 10*baseline*capacity, baseline*capacity))
 		s := simulate(t, 1, admission.Config{Slots: slots}, backend{}, 7*seconds, browse)
-		crest := s.sum(browse, 2500*time.Millisecond, 4*seconds)
-		require.GreaterOrEqual(t, float64(crest.good)/1.5, min(0.9*capacity, 9*usual*capacity), "crest from %v", usual)
+		surge := s.sum(browse, 2500*time.Millisecond, 4*seconds)
+		require.GreaterOrEqual(t, float64(surge.good)/1.5, min(0.9*capacity, 9*baseline*capacity), "surge from %v", baseline)
 		after := s.sum(browse, 5*seconds, 6*seconds)
-		require.GreaterOrEqual(t, float64(after.good), 0.99*float64(after.offered), "1 s after the crest from %v", usual)
-		require.Equal(t, call.LeastImportant, s.levels[6*seconds/admission.TickInterval], "2 s after the crest from %v", usual)
+		require.GreaterOrEqual(t, float64(after.good), 0.99*float64(after.offered), "1 s after the surge from %v", baseline)
+		require.Equal(t, call.LeastImportant, s.levels[6*seconds/admission.TickInterval], "2 s after the surge from %v", baseline)
 	}
 }
 
-// Guards against a limit that ignores that the backend server slows down, and against one outside [1, slots].
-// Mutation: without shrink's reduction the limit goes to 70.
+// Guards against a limit that does not fall when concurrency slows the backend server down, and a limit outside [1, slots].
+// Mutation: without the reduction in shrink the limit rises to 70.
 func TestLimitFollowsTheBackendServer(t *testing.T) {
 	for seed, width := range []float64{10, 15, 10, 15, 10, 15} {
 		s := simulate(t, uint64(seed), admission.Config{Slots: 70}, backend{width: width}, 6*seconds, browsing(constant(width*50*2)))
-		late := slices.Clone(s.limits[200:])
-		slices.Sort(late)
-		require.Greater(t, float64(late[len(late)/10]), width)
-		require.Less(t, float64(late[len(late)/2]), 3.5*width)
+		settled := slices.Clone(s.limits[200:])
+		slices.Sort(settled)
+		require.Greater(t, float64(settled[len(settled)/10]), width)
+		require.Less(t, float64(settled[len(settled)/2]), 3.5*width)
 		require.LessOrEqual(t, slices.Max(s.limits), 70)
 		require.GreaterOrEqual(t, slices.Min(s.limits), 1)
 	}
 }
 
-// Guards against a limit, level or service time that stays bad after a stall, a cold start or a slow spell, and against a
-// limit that stays low when something else slowed the backend server for good.
-// Mutation: without the restored limit in shrink, the limit stays low after a slow spell; with servedFloor = 0 the important
+// Guards against a limit, level or service time that does not recover after a stall, a cold start or a slowdown, and against a
+// limit that stays low when a cause other than concurrency slowed the backend server down permanently.
+// Mutation: without the restored limit in shrink, the limit stays low after a slowdown; with servedFloor = 0 the important
 // class is shed at first.
-func TestRecoversByItself(t *testing.T) {
+func TestRecoversAfterStallOrSlowdown(t *testing.T) {
 	tests := []struct {
 		name    string
 		backend backend
-		// from is 1 s after the trouble ended, and minimum the least limit from then on.
+		// from is 1 s after the end of the fault, and minimum is the lower bound of the limit from then on.
 		from    time.Duration
 		minimum int
 		good    float64
-		// soon is the least part of the important class that is served in the first 500 ms after the trouble.
-		soon float64
+		// firstGood is the minimum share of the important class that is served in the first 500 ms after the fault.
+		firstGood float64
 	}{
 		{"stall of 300 ms", backend{stalls: [][2]time.Duration{{2 * seconds, 2300 * time.Millisecond}}}, 3300 * time.Millisecond, 20, 0.99, 0.95},
 		{"stall of 1 s", backend{stalls: [][2]time.Duration{{2 * seconds, 3 * seconds}}}, 4 * seconds, 20, 0.99, 0.95},
 		{"two stalls", backend{stalls: [][2]time.Duration{{2 * seconds, 2500 * time.Millisecond}, {2700 * time.Millisecond, 3 * seconds}}}, 4 * seconds, 20, 0.99, 0.95},
-		{"slow for 2 s", backend{slow: between(seconds, 3*seconds, 10, 1)}, 4 * seconds, 20, 0.99, 0.5},
-		{"cold for 1 s", backend{slow: between(0, seconds, 10, 1)}, 2 * seconds, 20, 0.99, 0.5},
-		{"slow for good", backend{slow: between(2*seconds, 60*seconds, 10, 1)}, 5 * seconds, 25, 0, 0},
+		{"slow for 2 s", backend{slowdown: between(seconds, 3*seconds, 10, 1)}, 4 * seconds, 20, 0.99, 0.5},
+		{"cold for 1 s", backend{slowdown: between(0, seconds, 10, 1)}, 2 * seconds, 20, 0.99, 0.5},
+		{"slow for good", backend{slowdown: between(2*seconds, 60*seconds, 10, 1)}, 5 * seconds, 25, 0, 0},
 	}
 	for _, test := range tests {
 		for seed := uint64(1); seed <= 3; seed++ {
@@ -112,25 +112,25 @@
 				s := simulate(t, seed, admission.Config{Slots: slots}, test.backend, 8*seconds, pay, browse)
 				from := test.from.Truncate(100 * time.Millisecond)
 				first := s.sum(pay, from-seconds, from-seconds/2)
-				require.GreaterOrEqual(t, float64(first.good), test.soon*float64(first.offered), "important class at first")
+				require.GreaterOrEqual(t, float64(first.good), test.firstGood*float64(first.offered), "important class at first")
 				p, b := s.sum(pay, from, 7*seconds), s.sum(browse, from, 7*seconds)
 				require.GreaterOrEqual(t, float64(p.good+b.good), test.good*float64(p.offered+b.offered))
 				if test.good == 0 {
 					require.GreaterOrEqual(t, float64(p.good), 0.8*capacity/10*(7*seconds-from).Seconds(), "goodput")
 				}
-				late := slices.Clone(s.limits[from/admission.TickInterval:])
-				slices.Sort(late)
-				require.GreaterOrEqual(t, late[len(late)/10], test.minimum)
+				settled := slices.Clone(s.limits[from/admission.TickInterval:])
+				slices.Sort(settled)
+				require.GreaterOrEqual(t, settled[len(settled)/10], test.minimum)
 			})
 		}
 	}
 }
 
-// Guards against stragglers that make short calls wait.
+// Guards against stragglers that delay short calls.
 // Mutation: grow without the doubling.
 func TestStragglersDoNotDelayShortCalls(t *testing.T) {
 	browse := browsing(constant(0.3 * capacity))
-	browse.straggle, browse.patience = 0.02, 10*seconds
+	browse.stragglerShare, browse.timeout = 0.02, 10*seconds
 	s := simulate(t, 1, admission.Config{Slots: slots}, backend{}, 9*seconds, browse)
 	waits := s.waits[browse][capacity:]
 	slices.Sort(waits)
@@ -138,31 +138,32 @@
 }
 
 // Guards against stragglers that lower the limit.
-// Mutation: tolerance = 1. (The slowest call instead of the median is not enough: the trial in shrink restores the limit.)
+// Mutation: latencyTolerance = 1. (The slowest call instead of the median is not enough: the trial in shrink restores the
+// limit.)
 func TestStragglersDoNotLowerTheLimit(t *testing.T) {
 	browse := browsing(constant(capacity))
-	browse.straggle, browse.patience = 0.02, 10*seconds
+	browse.stragglerShare, browse.timeout = 0.02, 10*seconds
 	s := simulate(t, 1, admission.Config{Slots: slots}, backend{}, 9*seconds, browse)
-	late := slices.Clone(s.limits[200:])
-	slices.Sort(late)
-	require.GreaterOrEqual(t, late[len(late)/10], slots*3/4)
+	settled := slices.Clone(s.limits[200:])
+	slices.Sort(settled)
+	require.GreaterOrEqual(t, settled[len(settled)/10], slots*3/4)
 }
 
-// Guards against the stragglers of one operation holding every slot while calls of another operation wait.
-// Mutation: with a guard that permits everything, the short calls wait for a straggler to end.
+// Guards against the stragglers of one operation occupying every slot while calls of another operation wait.
+// Mutation: with a bulkhead that permits every call, the short calls wait for a straggler to finish.
 func TestStragglersOfOneOperationLeaveSlots(t *testing.T) {
 	long := browsing(constant(225))
-	long.op, long.straggle, long.patience = "report", 0.2, 30*seconds
+	long.op, long.stragglerShare, long.timeout = "report", 0.2, 30*seconds
 	short := browsing(constant(20))
-	short.patience = 30 * seconds
+	short.timeout = 30 * seconds
 	s := simulate(t, 1, admission.Config{Slots: slots}, backend{}, 10*seconds, long, short)
 	waits := s.waits[short]
 	slices.Sort(waits)
 	require.LessOrEqual(t, waits[len(waits)*95/100], mean)
 }
 
-// Guards against the baselines gaining or losing controls: "none" starts everything at once, "fixed" stays at the slots.
-// Mutation: any other limit of the two.
+// Guards against a change of the baselines: "none" starts every call at once, and the limit of "fixed" is the slots.
+// Mutation: any other limit in either of the two.
 func TestBaselines(t *testing.T) {
 	browse := browsing(constant(3 * capacity))
 	s := simulate(t, 1, admission.Config{Slots: slots, Limiter: "none"}, backend{width: slots}, seconds, browse)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,41 +8,42 @@
 	"lovagelane/call"
 )
 
-// entry is a queued call. It is in one line of an order and in both heaps.
+// entry is a queued call. It is in one callerQueue of a fairQueue and in the heap byImportance; with a deadline, it is also in
+// the heap byLatestStart.
 type entry struct {
 	item    Item
 	id      uint64
 	op      *operation
 	arrived time.Time
-	// latest is the last moment at which a start meets the deadline.
-	latest     time.Time
-	seq        uint64
-	order      *order
-	line       *line
-	prev, next *entry
-	worstIndex int
-	dueIndex   int
+	// latestStart is the latest time at which a start meets the deadline.
+	latestStart      time.Time
+	seq              uint64
+	fairQueue        *fairQueue
+	callerQueue      *callerQueue
+	prev, next       *entry
+	importanceIndex  int
+	latestStartIndex int
 }
 
-// queue holds the calls that wait. The calls of a restricted operation are kept apart, so that they can be passed over
+// queue holds the waiting calls. The calls of a restricted operation are in a separate fairQueue, so that they can be skipped
 // without a search.
 type queue struct {
-	byID map[uint64]*entry
-	free order
-	held order
-	// byWorst has the least important and oldest call first.
-	byWorst worstHeap
-	// due has the call whose latest start comes first; calls without a deadline are not in it.
-	due  dueHeap
-	seq  uint64
-	pool []*entry
+	byID         map[uint64]*entry
+	unrestricted fairQueue
+	restricted   fairQueue
+	// byImportance has the least important call first, and the oldest one among equals.
+	byImportance importanceHeap
+	// byLatestStart has the call with the earliest latestStart first; it excludes calls without a deadline.
+	byLatestStart latestStartHeap
+	seq           uint64
+	pool          []*entry
 }
 
-func (q *queue) len() int { return len(q.byWorst) }
+func (q *queue) len() int { return len(q.byImportance) }
 
-func (q *queue) worst() *entry { return q.byWorst[0] }
+func (q *queue) leastImportant() *entry { return q.byImportance[0] }
 
-func (q *queue) push(now time.Time, item Item, op *operation, held bool) {
+func (q *queue) push(now time.Time, item Item, op *operation, restricted bool) {
 	var e *entry
 	if n := len(q.pool); n > 0 {
 		e, q.pool = q.pool[n-1], q.pool[:n-1]
@@ -50,63 +51,63 @@
 		e = new(entry)
 	}
 	q.seq++
-	*e = entry{item: item, id: item.ID, op: op, arrived: now, seq: q.seq, dueIndex: -1}
+	*e = entry{item: item, id: item.ID, op: op, arrived: now, seq: q.seq, latestStartIndex: -1}
 	q.byID[item.ID] = e
-	heap.Push(&q.byWorst, e)
+	heap.Push(&q.byImportance, e)
 	if !item.Deadline.IsZero() {
-		e.latest = item.Deadline.Add(-op.estimate(now))
-		heap.Push(&q.due, e)
+		e.latestStart = item.Deadline.Add(-op.estimate(now))
+		heap.Push(&q.byLatestStart, e)
 	}
-	q.insert(e, held)
+	q.insert(e, restricted)
 }
 
-func (q *queue) insert(e *entry, held bool) {
-	e.order = &q.free
-	if held {
-		e.order = &q.held
+func (q *queue) insert(e *entry, restricted bool) {
+	e.fairQueue = &q.unrestricted
+	if restricted {
+		e.fairQueue = &q.restricted
 	}
-	e.order.push(e)
+	e.fairQueue.push(e)
 }
 
-// remove takes a call out; the entry may be reused by the next push.
+// remove removes a call; the next push may reuse the entry.
 func (q *queue) remove(e *entry) {
 	delete(q.byID, e.id)
-	heap.Remove(&q.byWorst, e.worstIndex)
-	if e.dueIndex >= 0 {
-		heap.Remove(&q.due, e.dueIndex)
+	heap.Remove(&q.byImportance, e.importanceIndex)
+	if e.latestStartIndex >= 0 {
+		heap.Remove(&q.byLatestStart, e.latestStartIndex)
 	}
-	e.order.remove(e)
+	e.fairQueue.remove(e)
 	q.pool = append(q.pool, e)
 }
 
-// best returns the call to start next, or nil when all that wait are held and held is false.
-func (q *queue) best(newestFirst, held bool) *entry {
-	e := q.free.best(newestFirst)
-	if !held || q.held.n == 0 {
+// peek returns the call to start next, or nil if there is none. It skips restricted calls unless allowRestricted is set.
+func (q *queue) peek(newestFirst, allowRestricted bool) *entry {
+	e := q.unrestricted.peek(newestFirst)
+	if !allowRestricted || q.restricted.n == 0 {
 		return e
 	}
-	if h := q.held.best(newestFirst); e == nil || band(h.item.Priority) < band(e.item.Priority) {
-		return h
+	if r := q.restricted.peek(newestFirst); e == nil || band(r.item.Priority) < band(e.item.Priority) {
+		return r
 	}
 	return e
 }
 
-// regroup moves the calls of the restricted operation apart, and those of other operations back.
-func (q *queue) regroup(restricted *operation) {
-	for _, e := range q.byWorst {
-		held := restricted != nil && e.op == restricted
-		if held != (e.order == &q.held) {
-			e.order.remove(e)
-			q.insert(e, held)
+// setRestricted moves the calls of the restricted operation to the restricted queue, and all others to the unrestricted one.
+func (q *queue) setRestricted(op *operation) {
+	for _, e := range q.byImportance {
+		isRestricted := op != nil && e.op == op
+		if isRestricted != (e.fairQueue == &q.restricted) {
+			e.fairQueue.remove(e)
+			q.insert(e, isRestricted)
 		}
 	}
 }
 
-// bands is the number of class ranks, each with one band for requests within the fair share and one for excess.
+// bands is the number of service bands: each class rank has one for requests within the fair share and one for excess.
 const bands = 2 * (call.MaxRank + 1)
 
-// band returns the place of a priority in the order. Values within a band only decide which calls are shed; the order of
-// service within it is fair between callers.
+// band returns the service band of a priority; lower bands are served first. Values within a band only decide which calls are
+// shed; within a band, callers take turns.
 func band(p call.Priority) int {
 	b := 2 * int(min(p.Rank, call.MaxRank))
 	if p.Value >= call.FairValues {
@@ -115,114 +116,115 @@
 	return b
 }
 
-// order hands out calls by band and, within a band, to callers in turn.
-type order struct {
-	n    int
-	used uint32
-	band [bands]struct {
-		lines map[string]*line
-		head  *line
+// fairQueue serves calls by band and, within a band, callers in round-robin order.
+type fairQueue struct {
+	n int
+	// nonEmpty is a bit set of the bands that have calls.
+	nonEmpty uint32
+	band     [bands]struct {
+		callers map[string]*callerQueue
+		head    *callerQueue
 	}
 }
 
-// line holds the calls of one caller in a band in order of arrival; the lines of a band form a ring.
-type line struct {
+// callerQueue holds the calls of one caller in a band in order of arrival; the queues of a band form a ring.
+type callerQueue struct {
 	caller         string
 	band           int
 	oldest, newest *entry
-	prev, next     *line
+	prev, next     *callerQueue
 }
 
-func (o *order) push(e *entry) {
+func (f *fairQueue) push(e *entry) {
 	i := band(e.item.Priority)
-	b := &o.band[i]
-	l := b.lines[e.item.Caller]
-	if l == nil {
-		l = &line{caller: e.item.Caller, band: i}
-		if b.lines == nil {
-			b.lines = map[string]*line{}
+	b := &f.band[i]
+	c := b.callers[e.item.Caller]
+	if c == nil {
+		c = &callerQueue{caller: e.item.Caller, band: i}
+		if b.callers == nil {
+			b.callers = map[string]*callerQueue{}
 		}
-		b.lines[l.caller] = l
+		b.callers[c.caller] = c
 		if b.head == nil {
-			b.head, l.prev, l.next = l, l, l
+			b.head, c.prev, c.next = c, c, c
 		} else {
-			// A new line comes last in turn.
-			l.prev, l.next = b.head.prev, b.head
-			l.prev.next, l.next.prev = l, l
+			// A new caller is last in the round-robin order.
+			c.prev, c.next = b.head.prev, b.head
+			c.prev.next, c.next.prev = c, c
 		}
 	}
-	e.line, e.prev, e.next = l, l.newest, nil
-	if l.newest != nil {
-		l.newest.next = e
+	e.callerQueue, e.prev, e.next = c, c.newest, nil
+	if c.newest != nil {
+		c.newest.next = e
 	} else {
-		l.oldest = e
+		c.oldest = e
 	}
-	l.newest = e
-	o.n++
-	o.used |= 1 << i
+	c.newest = e
+	f.n++
+	f.nonEmpty |= 1 << i
 }
 
-// best returns the next call and leaves it in place. At overload the newest call of a caller is served first, because the
-// oldest ones have used up most of their time.
-func (o *order) best(newestFirst bool) *entry {
-	if o.used == 0 {
+// peek returns the next call without removing it, or nil if there is none. During overload the newest call of a caller is
+// served first, because the oldest calls have used up most of their time.
+func (f *fairQueue) peek(newestFirst bool) *entry {
+	if f.nonEmpty == 0 {
 		return nil
 	}
-	l := o.band[bits.TrailingZeros32(o.used)].head
+	c := f.band[bits.TrailingZeros32(f.nonEmpty)].head
 	if newestFirst {
-		return l.newest
+		return c.newest
 	}
-	return l.oldest
+	return c.oldest
 }
 
-// remove takes a call out; when its caller was first in turn, the turn goes to the next caller.
-func (o *order) remove(e *entry) {
-	l := e.line
-	b := &o.band[l.band]
+// remove removes a call; if its caller is at the head of the ring, the next caller becomes the head.
+func (f *fairQueue) remove(e *entry) {
+	c := e.callerQueue
+	b := &f.band[c.band]
 	if e.prev != nil {
 		e.prev.next = e.next
 	} else {
-		l.oldest = e.next
+		c.oldest = e.next
 	}
 	if e.next != nil {
 		e.next.prev = e.prev
 	} else {
-		l.newest = e.prev
+		c.newest = e.prev
 	}
-	e.line, e.prev, e.next = nil, nil, nil
-	o.n--
-	if b.head == l {
-		b.head = l.next
+	e.callerQueue, e.prev, e.next = nil, nil, nil
+	f.n--
+	if b.head == c {
+		b.head = c.next
 	}
-	if l.oldest != nil {
+	if c.oldest != nil {
 		return
 	}
-	delete(b.lines, l.caller)
-	if l.next == l {
+	delete(b.callers, c.caller)
+	if c.next == c {
 		b.head = nil
-		o.used &^= 1 << l.band
+		f.nonEmpty &^= 1 << c.band
 		return
 	}
-	l.prev.next, l.next.prev = l.next, l.prev
+	c.prev.next, c.next.prev = c.next, c.prev
 }
 
-type worstHeap []*entry
+type importanceHeap []*entry
 
-func (h worstHeap) Len() int { return len(h) }
-func (h worstHeap) Less(i, j int) bool {
+func (h importanceHeap) Len() int { return len(h) }
+func (h importanceHeap) Less(i, j int) bool {
 	a, b := h[i].item.Priority.Key(), h[j].item.Priority.Key()
 	return a > b || a == b && h[i].seq < h[j].seq
 }
-func (h worstHeap) Swap(i, j int) {
+func (h importanceHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].worstIndex, h[j].worstIndex = i, j
+	h[i].importanceIndex, h[j].importanceIndex = i, j
 }
-func (h *worstHeap) Push(x any) {
+func (h *importanceHeap) Push(x any) {
 	e := x.(*entry)
-	e.worstIndex = len(*h)
+	e.importanceIndex = len(*h)
 	*h = append(*h, e)
 }
-func (h *worstHeap) Pop() any {
+func (h *importanceHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -230,20 +232,20 @@
 	return e
 }
 
-type dueHeap []*entry
+type latestStartHeap []*entry
 
-func (h dueHeap) Len() int           { return len(h) }
-func (h dueHeap) Less(i, j int) bool { return h[i].latest.Before(h[j].latest) }
-func (h dueHeap) Swap(i, j int) {
+func (h latestStartHeap) Len() int           { return len(h) }
+func (h latestStartHeap) Less(i, j int) bool { return h[i].latestStart.Before(h[j].latestStart) }
+func (h latestStartHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].dueIndex, h[j].dueIndex = i, j
+	h[i].latestStartIndex, h[j].latestStartIndex = i, j
 }
-func (h *dueHeap) Push(x any) {
+func (h *latestStartHeap) Push(x any) {
 	e := x.(*entry)
-	e.dueIndex = len(*h)
+	e.latestStartIndex = len(*h)
 	*h = append(*h, e)
 }
-func (h *dueHeap) Pop() any {
+func (h *latestStartHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/admission/running.go
+++ b/admission/running.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// overdueFactor is how many times longer than usual a call runs before it counts as a straggler.
-	overdueFactor = 8
-	// guardShare is the part of the limit that an operation's stragglers must hold before its calls are restricted.
-	guardShare = 4
-	// reserveShare is the part of the limit that is then kept for other operations.
-	reserveShare = 8
-	// guardInterval is how long the restriction outlasts its cause.
-	guardInterval = time.Second
+	// stragglerFactor is the multiple of the service time above which a call in flight counts as a straggler.
+	stragglerFactor = 8
+	// restrictDivisor sets when an operation is restricted: its stragglers occupy at least limit/restrictDivisor.
+	restrictDivisor = 4
+	// reserveDivisor sets the number of slots that are then reserved for other operations: limit/reserveDivisor.
+	reserveDivisor = 8
+	// restrictInterval is the time for which the restriction stays after its cause has ended.
+	restrictInterval = time.Second
 )
 
-// running is a call in flight.
-type running struct {
+// runningCall is a call in flight.
+type runningCall struct {
 	id      uint64
 	op      *operation
 	started time.Time
@@ -23,26 +23,26 @@
 
 // runningSet holds the calls in flight.
 type runningSet struct {
-	byID map[uint64]*running
-	list []*running
-	free []*running
-	// overdue is the number of stragglers among them.
-	overdue int
+	byID  map[uint64]*runningCall
+	calls []*runningCall
+	pool  []*runningCall
+	// stragglers is the number of stragglers among the calls.
+	stragglers int
 }
 
-func (s *runningSet) len() int { return len(s.list) }
+func (s *runningSet) len() int { return len(s.calls) }
 
 func (s *runningSet) start(now time.Time, id uint64, op *operation) {
-	var r *running
-	if n := len(s.free); n > 0 {
-		r, s.free = s.free[n-1], s.free[:n-1]
+	var r *runningCall
+	if n := len(s.pool); n > 0 {
+		r, s.pool = s.pool[n-1], s.pool[:n-1]
 	} else {
-		r = new(running)
+		r = new(runningCall)
 	}
-	*r = running{id: id, op: op, started: now, index: len(s.list)}
+	*r = runningCall{id: id, op: op, started: now, index: len(s.calls)}
 	op.inFlight++
 	s.byID[id] = r
-	s.list = append(s.list, r)
+	s.calls = append(s.calls, r)
 }
 
 func (s *runningSet) finish(id uint64) (*operation, time.Time, bool) {
@@ -51,64 +51,64 @@
 		return nil, time.Time{}, false
 	}
 	delete(s.byID, id)
-	last := len(s.list) - 1
-	s.list[r.index] = s.list[last]
-	s.list[r.index].index = r.index
-	s.list = s.list[:last]
+	last := len(s.calls) - 1
+	s.calls[r.index] = s.calls[last]
+	s.calls[r.index].index = r.index
+	s.calls = s.calls[:last]
 	r.op.inFlight--
-	s.free = append(s.free, r)
+	s.pool = append(s.pool, r)
 	return r.op, r.started, true
 }
 
-// markOverdue counts the stragglers of each operation.
-func (s *runningSet) markOverdue(now time.Time, ops *operations) {
-	s.overdue = 0
-	for _, r := range s.list {
-		r.op.overdue = 0
+// countStragglers counts the stragglers of each operation and in total.
+func (s *runningSet) countStragglers(now time.Time, ops *operations) {
+	s.stragglers = 0
+	for _, r := range s.calls {
+		r.op.stragglers = 0
 	}
-	for _, r := range s.list {
-		usual := r.op.usual()
-		if r.op.n < fewCalls {
-			usual = ops.all.usual()
+	for _, r := range s.calls {
+		baseline := r.op.stragglerBaseline()
+		if r.op.n < minTrustedCalls {
+			baseline = ops.all.stragglerBaseline()
 		}
-		if ops.all.n >= fewCalls && now.Sub(r.started) > overdueFactor*usual {
-			r.op.overdue++
-			s.overdue++
+		if ops.all.n >= minTrustedCalls && now.Sub(r.started) > stragglerFactor*baseline {
+			r.op.stragglers++
+			s.stragglers++
 		}
 	}
 }
 
-// guard keeps slots for other operations while the stragglers of one operation hold a large part of the limit.
-type guard struct {
-	op    *operation
-	until time.Time
+// bulkhead reserves slots for other operations while the stragglers of one operation occupy a large part of the limit.
+type bulkhead struct {
+	restricted *operation
+	until      time.Time
 }
 
-// update chooses the restricted operation and reports whether it changed.
-func (g *guard) update(now time.Time, limit int, running *runningSet, ops *operations) bool {
-	var most *operation
-	for _, r := range running.list {
-		if r.op.overdue > 0 && (most == nil || r.op.overdue > most.overdue) {
-			most = r.op
+// update selects the restricted operation and reports whether it changed.
+func (b *bulkhead) update(now time.Time, limit int, running *runningSet, ops *operations) bool {
+	var top *operation
+	for _, r := range running.calls {
+		if r.op.stragglers > 0 && (top == nil || r.op.stragglers > top.stragglers) {
+			top = r.op
 		}
 	}
-	before := g.op
+	before := b.restricted
 	switch {
-	case most != nil && most.overdue >= max(1, limit/guardShare) && ops.othersSince(most, now.Add(-guardInterval)):
-		g.op, g.until = most, now.Add(guardInterval)
-	case now.After(g.until):
-		g.op = nil
+	case top != nil && top.stragglers >= max(1, limit/restrictDivisor) && ops.othersSince(top, now.Add(-restrictInterval)):
+		b.restricted, b.until = top, now.Add(restrictInterval)
+	case now.After(b.until):
+		b.restricted = nil
 	}
-	return g.op != before
+	return b.restricted != before
 }
 
-// holds reports whether the operation is restricted.
-func (g *guard) holds(op *operation) bool { return g.op != nil && g.op == op }
+// restricts reports whether the operation is restricted.
+func (b *bulkhead) restricts(op *operation) bool { return b.restricted != nil && b.restricted == op }
 
 // permits reports whether one more call of the operation may start under the limit.
-func (g *guard) permits(op *operation, limit int) bool {
-	if !g.holds(op) {
+func (b *bulkhead) permits(op *operation, limit int) bool {
+	if !b.restricts(op) {
 		return true
 	}
-	return op.inFlight < max(1, limit-max(1, limit/reserveShare))
+	return op.inFlight < max(1, limit-max(1, limit/reserveDivisor))
 }
--- a/admission/sim_test.go
+++ b/admission/sim_test.go
@@ -20,31 +20,32 @@
 	rank   uint8
 	rate   func(at time.Duration) float64
 	mean   time.Duration
-	// straggle is the part of calls that takes 50 times as long.
-	straggle float64
-	// patience is the time from arrival to deadline.
-	patience time.Duration
+	// stragglerShare is the share of calls that take 50 times as long.
+	stragglerShare float64
+	// timeout is the time from arrival to deadline.
+	timeout time.Duration
 }
 
-// backend is a simulated backend server: its calls slow each other down beyond width, and everything waits for stalls.
+// backend is a simulated backend server. More than width concurrent calls slow each other down, and no call makes progress
+// during a stall.
 type backend struct {
-	width  float64
-	slow   func(at time.Duration) float64
-	stalls [][2]time.Duration
+	width    float64
+	slowdown func(at time.Duration) float64
+	stalls   [][2]time.Duration
 }
 
-type moment struct {
-	at  time.Duration
-	run func()
+type scheduledEvent struct {
+	at   time.Duration
+	fire func()
 }
 
-type agenda []moment
+type eventHeap []scheduledEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(moment)) }
-func (a *agenda) Pop() any {
+func (a eventHeap) Len() int           { return len(a) }
+func (a eventHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)        { *a = append(*a, x.(scheduledEvent)) }
+func (a *eventHeap) Pop() any {
 	old := *a
 	m := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -61,7 +62,7 @@
 // result counts the calls of one stream that arrived in one 100 ms slice.
 type result struct{ offered, good, shed, dropped int }
 
-// simulation drives one controller and checks on the way that each call is settled exactly once and that a start never
+// simulation drives one controller in virtual time. It checks that a queued call gets at most one event and that a start never
 // exceeds the limit.
 type simulation struct {
 	t       testing.TB
@@ -70,7 +71,7 @@
 	backend backend
 	streams []*stream
 	now     time.Duration
-	agenda  agenda
+	events  eventHeap
 	queued  map[uint64]*job
 	running map[uint64]*job
 	id      uint64
@@ -92,18 +93,20 @@
 	}
 	for _, st := range streams {
 		s.results[st] = make([]result, int(length/(100*time.Millisecond))+1)
-		s.schedule(0, func() { s.next(st) })
+		s.schedule(0, func() { s.arriveNext(st) })
 	}
 	s.schedule(0, s.tick)
-	for len(s.agenda) > 0 && s.agenda[0].at < length {
-		m := heap.Pop(&s.agenda).(moment)
+	for len(s.events) > 0 && s.events[0].at < length {
+		m := heap.Pop(&s.events).(scheduledEvent)
 		s.now = m.at
-		m.run()
+		m.fire()
 	}
 	return s
 }
 
-func (s *simulation) schedule(at time.Duration, run func()) { heap.Push(&s.agenda, moment{at, run}) }
+func (s *simulation) schedule(at time.Duration, run func()) {
+	heap.Push(&s.events, scheduledEvent{at, run})
+}
 
 func (s *simulation) time() time.Time { return epoch.Add(s.now) }
 
@@ -114,43 +117,43 @@
 	s.schedule(s.now+admission.TickInterval, s.tick)
 }
 
-// next lets a call of the stream arrive and plans the one after it.
-func (s *simulation) next(st *stream) {
+// arriveNext simulates the arrival of a call of the stream and schedules the next one.
+func (s *simulation) arriveNext(st *stream) {
 	rate := st.rate(s.now)
 	if rate <= 0 {
-		s.schedule(s.now+time.Millisecond, func() { s.next(st) })
+		s.schedule(s.now+time.Millisecond, func() { s.arriveNext(st) })
 		return
 	}
 	s.arrive(st)
-	s.schedule(s.now+time.Duration(s.rand.ExpFloat64()/rate*1e9), func() { s.next(st) })
+	s.schedule(s.now+time.Duration(s.rand.ExpFloat64()/rate*1e9), func() { s.arriveNext(st) })
 }
 
 func (s *simulation) arrive(st *stream) {
 	s.id++
 	j := &job{stream: st, arrived: s.now, item: admission.Item{
 		ID: s.id, Priority: call.Priority{Rank: st.rank, Value: uint8(s.rand.IntN(128))}, Operation: st.op,
-		Caller: st.caller, Deadline: s.time().Add(st.patience),
+		Caller: st.caller, Deadline: s.time().Add(st.timeout),
 	}}
-	s.slice(j).offered++
+	s.resultOf(j).offered++
 	switch v := s.c.Arrive(s.time(), j.item).(type) {
 	case admission.Start:
 		s.start(j)
 	case admission.Wait:
 		s.queued[j.item.ID] = j
 	case admission.Refuse:
-		s.refused(j, v.Reason)
+		s.recordRefusal(j, v.Reason)
 	}
 }
 
-func (s *simulation) slice(j *job) *result {
+func (s *simulation) resultOf(j *job) *result {
 	return &s.results[j.stream][j.arrived/(100*time.Millisecond)]
 }
 
-func (s *simulation) refused(j *job, reason call.Reason) {
+func (s *simulation) recordRefusal(j *job, reason call.Reason) {
 	if reason == call.ReasonShed {
-		s.slice(j).shed++
+		s.resultOf(j).shed++
 	} else {
-		s.slice(j).dropped++
+		s.resultOf(j).dropped++
 	}
 }
 
@@ -162,28 +165,28 @@
 	require.LessOrEqual(s.t, load.InFlight, load.Limit, "started beyond the limit")
 	s.waits[j.stream] = append(s.waits[j.stream], s.now-j.arrived)
 	took := float64(j.stream.mean) * (0.5 + s.rand.ExpFloat64()/2)
-	if s.rand.Float64() < j.stream.straggle {
+	if s.rand.Float64() < j.stream.stragglerShare {
 		took = float64(j.stream.mean) * 50
 	}
 	if s.backend.width > 0 {
 		took *= math.Max(1, float64(len(s.running))/s.backend.width)
 	}
-	if s.backend.slow != nil {
-		took *= s.backend.slow(s.now)
+	if s.backend.slowdown != nil {
+		took *= s.backend.slowdown(s.now)
 	}
-	began := s.now
+	startedAt := s.now
 	end := s.now + time.Duration(took)
 	for _, stall := range s.backend.stalls {
-		if began < stall[1] && end > stall[0] {
-			end += stall[1] - max(stall[0], began)
+		if startedAt < stall[1] && end > stall[0] {
+			end += stall[1] - max(stall[0], startedAt)
 		}
 	}
 	s.schedule(end, func() {
 		delete(s.running, j.item.ID)
 		if !s.time().After(j.item.Deadline) {
-			s.slice(j).good++
+			s.resultOf(j).good++
 		}
-		s.settle(s.c.Finish(s.time(), j.item.ID, admission.Sample{Latency: s.now - began}))
+		s.settle(s.c.Finish(s.time(), j.item.ID, admission.Sample{Latency: s.now - startedAt}))
 	})
 }
 
@@ -191,15 +194,15 @@
 	for _, event := range events {
 		switch e := event.(type) {
 		case admission.Started:
-			j := s.take(e.ID)
+			j := s.dequeue(e.ID)
 			s.start(j)
 		case admission.Dropped:
-			s.refused(s.take(e.ID), e.Reason)
+			s.recordRefusal(s.dequeue(e.ID), e.Reason)
 		}
 	}
 }
 
-func (s *simulation) take(id uint64) *job {
+func (s *simulation) dequeue(id uint64) *job {
 	j := s.queued[id]
 	require.NotNil(s.t, j, "call %d settled twice or never queued", id)
 	delete(s.queued, id)
@@ -222,7 +225,7 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// between returns a rate that is high from one time to another and low otherwise.
+// between returns a function that is high in [from, to) and low otherwise.
 func between(from, to time.Duration, high, low float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < to {
