--- a/slots/caps.go
+++ b/slots/caps.go
@@ -3,27 +3,31 @@
 import "lovagelane/kernel"
 
 const (
-	// capWindow is the number of ended runs after which a cap moves. With fewer, one long run more or less would move it.
-	capWindow = 32
-	// lateShare is the share of runs that end too late from which a cap falls. Below it they are the long ones of any mix.
-	lateShare = 0.15
-	// capFall is by how much of the share of late runs a cap falls.
-	capFall = 0.7
-	// nearRise is the part by which a cap rises near the limit from which it fell last, and farRise elsewhere.
-	nearRise = 0.02
-	farRise  = 0.08
-	// nearBelow and nearAbove bound what is near, as multiples of the limit from which the cap fell last.
+	// runsPerWindow is the number of finished runs after which a cap is adjusted. With fewer, a single long run would change
+	// the cap.
+	runsPerWindow = 32
+	// maxLateShare is the share of late runs above which a cap is lowered. Up to it, the late runs are the long ones that any
+	// mix contains.
+	maxLateShare = 0.15
+	// capDecrease is the fraction by which a cap is lowered when all runs are late; it scales with the share of late runs.
+	capDecrease = 0.7
+	// nearIncrease is the fraction by which a cap is raised near the limit of the last decrease, and farIncrease elsewhere.
+	nearIncrease = 0.02
+	farIncrease  = 0.08
+	// nearBelow and nearAbove are the range around the limit of the last decrease, as multiples of it, where nearIncrease
+	// applies.
 	nearBelow = 0.85
 	nearAbove = 1.15
-	// leastCap is the part of the slots below which no cap falls, so that a cap is lifted again once runs end in time.
-	leastCap = 0.05
-	// maxCaps bounds the routes that have caps.
-	maxCaps = 4096
+	// minCapShare is the minimum cap as a fraction of the slots, so that enough runs finish to raise the cap again.
+	minCapShare = 0.05
+	// maxRoutes bounds the number of routes that have caps.
+	maxRoutes = 4096
 )
 
-// Caps bounds how many calls of each sheddable route run at once by how many of them end in time. When a service further
-// below is short of room, runs here wait for it and fail at their deadline, and all their work is lost; with fewer of them
-// at once the rest are in time. The caller serializes access to it; its zero value caps nothing.
+// Caps is an adaptive concurrency limit for each sheddable route, driven by the share of runs that finish in time. When a
+// downstream service is overloaded, runs on this node wait for it until their deadline and all their work is lost; with
+// fewer concurrent runs, the remaining ones finish in time. The caller serializes access to Caps. The zero value starts each
+// route at a cap of all slots.
 type Caps struct {
 	routes *kernel.Table[string, routeCap]
 }
@@ -31,21 +35,22 @@
 type routeCap struct {
 	limit   float64
 	running int
-	// most is the largest number that ran at once in the window.
-	most  int
-	ended int
-	late  int
-	// falls counts the falls of the limit. A run that was admitted before the last one says nothing of the limit since.
-	falls int
-	// fellFrom is the limit before the last fall.
-	fellFrom float64
+	// maxRunning is the maximum number of concurrent runs in the window.
+	maxRunning int
+	finished   int
+	late       int
+	// decreases counts the decreases of the limit. A run that was admitted before the last decrease does not reflect the
+	// current limit.
+	decreases int
+	// lastDecreaseFrom is the limit before the last decrease, or maxRunning if that was lower.
+	lastDecreaseFrom float64
 }
 
-// Admit reports whether one more call of a route may run, and counts it as running if so. Ended needs the number that it
-// returns.
-func (c *Caps) Admit(route string, slots int) (admission int, ok bool) {
+// Admit reports whether one more call of a route may run and, if so, counts it as running. The generation must be passed to
+// Ended.
+func (c *Caps) Admit(route string, slots int) (generation int, ok bool) {
 	if c.routes == nil {
-		c.routes = kernel.NewTable[string, routeCap](maxCaps)
+		c.routes = kernel.NewTable[string, routeCap](maxRoutes)
 	}
 	r := c.routes.Put(route)
 	if r.limit == 0 || r.limit > float64(slots) {
@@ -55,19 +60,20 @@
 		return 0, false
 	}
 	r.running++
-	r.most = max(r.most, r.running)
-	return r.falls, true
+	r.maxRunning = max(r.maxRunning, r.running)
+	return r.decreases, true
 }
 
-// Cancelled takes back an admission whose call did not run, or ended without showing anything.
+// Cancelled reverts an admission whose call did not run or ended without a meaningful outcome.
 func (c *Caps) Cancelled(route string) {
 	if r := c.find(route); r != nil && r.running > 0 {
 		r.running--
 	}
 }
 
-// Ended takes the end of a run; late says that it failed after most of its time had passed.
-func (c *Caps) Ended(route string, admission, slots int, late bool) {
+// Ended records a finished run and adjusts the cap after each window. late is set if the run failed after most of its time
+// had passed.
+func (c *Caps) Ended(route string, generation, slots int, late bool) {
 	r := c.find(route)
 	if r == nil {
 		return
@@ -75,35 +81,36 @@
 	if r.running > 0 {
 		r.running--
 	}
-	if admission != r.falls {
+	if generation != r.decreases {
 		return
 	}
-	r.ended++
+	r.finished++
 	if late {
 		r.late++
 	}
-	if r.ended < capWindow {
+	if r.finished < runsPerWindow {
 		return
 	}
-	share := float64(r.late) / float64(r.ended)
-	if share > lateShare {
-		// A cap that was not reached does not bind, so it falls from what was reached.
-		r.fellFrom = min(r.limit, float64(r.most))
-		r.limit = r.fellFrom * (1 - capFall*share)
-		r.falls++
+	lateShare := float64(r.late) / float64(r.finished)
+	if lateShare > maxLateShare {
+		// A cap that was not reached has no effect, so the decrease starts from the concurrency that was reached.
+		r.lastDecreaseFrom = min(r.limit, float64(r.maxRunning))
+		r.limit = r.lastDecreaseFrom * (1 - capDecrease*lateShare)
+		r.decreases++
 	} else {
-		r.limit += max(1, r.rise()*r.limit)
+		r.limit += max(1, r.increase()*r.limit)
 	}
-	r.limit = max(leastCap*float64(slots), 1, min(r.limit, float64(slots)))
-	r.ended, r.late, r.most = 0, 0, r.running
+	r.limit = max(minCapShare*float64(slots), 1, min(r.limit, float64(slots)))
+	r.finished, r.late, r.maxRunning = 0, 0, r.running
 }
 
-// rise returns the part by which the cap rises: slowly where it fell last, since a shortage that lasts shows there.
-func (r *routeCap) rise() float64 {
-	if r.limit > nearBelow*r.fellFrom && r.limit < nearAbove*r.fellFrom {
-		return nearRise
+// increase returns the fraction by which the cap is raised. It is small near the last decrease, because a persisting overload
+// recurs there.
+func (r *routeCap) increase() float64 {
+	if r.limit > nearBelow*r.lastDecreaseFrom && r.limit < nearAbove*r.lastDecreaseFrom {
+		return nearIncrease
 	}
-	return farRise
+	return farIncrease
 }
 
 // Limit returns the cap of a route, or 0 when there is none.
--- a/slots/doc.go
+++ b/slots/doc.go
@@ -1,3 +1,4 @@
-// Package slots decides when a call may run on the own backend server: how many run at once, in which order the others
-// wait, and which are told at once that there is no room. It does no I/O and takes the time as an argument.
+// Package slots limits the calls in flight on the node's own backend server. Queue starts, queues or refuses calls by priority
+// and expected queueing delay, and Caps adapts a concurrency limit for each route. The package does no I/O and takes the time
+// as an argument.
 package slots
--- a/slots/heap.go
+++ b/slots/heap.go
@@ -1,65 +1,65 @@
 package slots
 
-// entry is a waiting call; it is in both heaps.
+// entry is a waiting call. It is in both heaps of the Queue.
 type entry struct {
 	call Call
 	seq  uint64
-	// index is the place in each heap.
+	// index holds the position in each heap.
 	index [2]int
 }
 
 // before reports whether e starts before other.
-func (e *entry) before(other *entry) bool {
+func (e *entry) startsBefore(other *entry) bool {
 	if e.call.Rank != other.call.Rank {
 		return e.call.Rank < other.call.Rank
 	}
 	return e.seq < other.seq
 }
 
-// dueBefore reports whether e expires before other.
-func (e *entry) dueBefore(other *entry) bool { return e.call.Latest.Before(other.call.Latest) }
+// expiresBefore reports whether e expires before other.
+func (e *entry) expiresBefore(other *entry) bool { return e.call.Latest.Before(other.call.Latest) }
 
-// The heaps that an entry is in.
+// The orders of the heaps that hold an entry.
 const (
-	byOrder = iota
-	byDue
+	byStart = iota
+	byExpiry
 )
 
-// line is a heap of waiting calls, by their order or by their latest start.
-type line struct {
+// callHeap is a heap of waiting calls, ordered by start or by expiry.
+type callHeap struct {
 	entries []*entry
-	by      int
+	order   int
 }
 
 // Len implements heap.Interface.
-func (l *line) Len() int { return len(l.entries) }
+func (h *callHeap) Len() int { return len(h.entries) }
 
 // Less implements heap.Interface.
-func (l *line) Less(i, j int) bool {
-	if l.by == byDue {
-		return l.entries[i].dueBefore(l.entries[j])
+func (h *callHeap) Less(i, j int) bool {
+	if h.order == byExpiry {
+		return h.entries[i].expiresBefore(h.entries[j])
 	}
-	return l.entries[i].before(l.entries[j])
+	return h.entries[i].startsBefore(h.entries[j])
 }
 
 // Swap implements heap.Interface.
-func (l *line) Swap(i, j int) {
-	l.entries[i], l.entries[j] = l.entries[j], l.entries[i]
-	l.entries[i].index[l.by], l.entries[j].index[l.by] = i, j
+func (h *callHeap) Swap(i, j int) {
+	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
+	h.entries[i].index[h.order], h.entries[j].index[h.order] = i, j
 }
 
 // Push implements heap.Interface.
-func (l *line) Push(x any) {
+func (h *callHeap) Push(x any) {
 	e := x.(*entry)
-	e.index[l.by] = len(l.entries)
-	l.entries = append(l.entries, e)
+	e.index[h.order] = len(h.entries)
+	h.entries = append(h.entries, e)
 }
 
 // Pop implements heap.Interface.
-func (l *line) Pop() any {
-	last := len(l.entries) - 1
-	e := l.entries[last]
-	l.entries[last] = nil
-	l.entries = l.entries[:last]
+func (h *callHeap) Pop() any {
+	last := len(h.entries) - 1
+	e := h.entries[last]
+	h.entries[last] = nil
+	h.entries = h.entries[:last]
 	return e
 }
--- a/slots/queue.go
+++ b/slots/queue.go
@@ -6,138 +6,141 @@
 )
 
 const (
-	// firstRun stands for the mean run time while no call has finished.
-	firstRun = 100 * time.Millisecond
-	// runGain is the part by which one finished call moves the mean run time.
-	runGain = 0.05
-	// maxWaiting bounds the queue as a multiple of the slots, so that its memory is bounded whatever the callers allow.
-	maxWaiting = 16
+	// initialRunTime is the mean run time that is assumed until a call has finished.
+	initialRunTime = 100 * time.Millisecond
+	// runTimeGain is the gain of the moving average of the run time.
+	runTimeGain = 0.05
+	// maxWaitingPerSlot bounds the queue as a multiple of the slots, so that memory is bounded for any wait that callers allow.
+	maxWaitingPerSlot = 16
 )
 
-// Call is a call that asks to run.
+// Call is a call that arrives at the queue.
 type Call struct {
-	// ID is unique among the calls that wait or run.
+	// ID is unique among the waiting and running calls.
 	ID uint64
-	// Rank is the importance; 0 runs first.
+	// Rank is the priority class; rank 0 starts first.
 	Rank int
-	// Latest is the time until which the call may wait for its start.
+	// Latest is the time at which the call expires if it has not started.
 	Latest time.Time
 }
 
-// Verdict is the answer to an arriving call: Start, Wait or Refuse.
-type Verdict interface{ verdict() }
+// Decision is the result of Arrive: Start, Wait or Refuse.
+type Decision interface{ decision() }
 
 // Start means that the call runs now.
 type Start struct{}
 
-// Wait means that the call is queued and that a later Event settles it.
+// Wait means that the call is queued; a later Event starts or expires it.
 type Wait struct{}
 
-// Refuse means that the call is not run; Wait is how long a call of its rank would have to wait.
+// Refuse means that the call is not run. Wait is the estimated queueing delay of a call of its rank, or 0 if the queue is
+// closed or has no slots.
 type Refuse struct{ Wait time.Duration }
 
-func (Start) verdict()  {}
-func (Wait) verdict()   {}
-func (Refuse) verdict() {}
+func (Start) decision()  {}
+func (Wait) decision()   {}
+func (Refuse) decision() {}
 
-// Event settles a queued call: Started or Expired.
+// Event is the outcome of a queued call: Started or Expired.
 type Event interface{ event() }
 
 // Started means that the queued call runs now.
 type Started struct{ ID uint64 }
 
-// Expired means that the queued call is not run because it waited until its latest start.
+// Expired means that the queued call is not run because its latest start passed or the queue was closed.
 type Expired struct{ ID uint64 }
 
 func (Started) event() {}
 func (Expired) event() {}
 
-// Load is what a node tells others of its room.
+// Load is the load of a queue that the node reports to other nodes.
 type Load struct {
 	Running int
 	Waiting int
 	Limit   int
-	// Wait is how long a new call of the least importance would wait.
+	// Wait is the estimated queueing delay of a new call of the lowest priority, or 0 while a slot is free.
 	Wait time.Duration
 }
 
-// Queue holds the calls of one backend server; the caller serializes access to it. Its zero value has no slots.
+// Queue holds the running and waiting calls of one backend server. The caller serializes access to it. The zero value has no
+// slots.
 type Queue struct {
-	limit   int
-	closed  bool
-	running map[uint64]struct{}
-	waiting map[uint64]*entry
-	order   line
-	due     line
-	seq     uint64
-	// run is the mean run time in seconds.
-	run float64
+	limit       int
+	closed      bool
+	running     map[uint64]struct{}
+	waiting     map[uint64]*entry
+	startOrder  callHeap
+	expiryOrder callHeap
+	seq         uint64
+	// meanRunTime is a moving average in seconds; 0 means that no call has finished.
+	meanRunTime float64
 }
 
-// SetLimit changes the number of calls that may run at once and returns the calls that start.
+// SetLimit sets the maximum number of running calls and returns the calls that start.
 func (q *Queue) SetLimit(limit int) []Event {
 	q.limit = max(limit, 0)
-	return q.start()
+	return q.startWaiting()
 }
 
-// Limit returns the number of calls that may run at once.
+// Limit returns the maximum number of running calls.
 func (q *Queue) Limit() int { return q.limit }
 
-// Close refuses every later call and returns the calls that waited as expired; Open ends that.
+// Close refuses all new calls until Open and returns the waiting calls as expired.
 func (q *Queue) Close() []Event {
 	q.closed = true
 	var events []Event
-	for q.order.Len() > 0 {
-		e := q.order.entries[0]
+	for q.startOrder.Len() > 0 {
+		e := q.startOrder.entries[0]
 		q.remove(e)
 		events = append(events, Expired{e.call.ID})
 	}
 	return events
 }
 
-// Open takes calls again after Close.
+// Open accepts calls again after Close.
 func (q *Queue) Open() { q.closed = false }
 
-// Arrive decides on a call; after Wait an Event from a later method settles it.
-func (q *Queue) Arrive(now time.Time, c Call) Verdict {
+// Arrive starts, queues or refuses a call; after Wait, a later method returns the Event for the call.
+func (q *Queue) Arrive(now time.Time, c Call) Decision {
 	if q.closed || q.limit == 0 {
 		return Refuse{}
 	}
 	if q.running == nil {
 		q.running, q.waiting = map[uint64]struct{}{}, map[uint64]*entry{}
-		q.due.by = byDue
+		q.expiryOrder.order = byExpiry
 	}
-	if len(q.running) < q.limit && q.order.Len() == 0 {
+	if len(q.running) < q.limit && q.startOrder.Len() == 0 {
 		q.running[c.ID] = struct{}{}
 		return Start{}
 	}
-	wait := q.estimate(c)
-	if now.Add(wait).After(c.Latest) || q.order.Len() >= maxWaiting*q.limit {
+	wait := q.estimateWait(c)
+	if now.Add(wait).After(c.Latest) || q.startOrder.Len() >= maxWaitingPerSlot*q.limit {
 		return Refuse{Wait: wait}
 	}
 	q.seq++
 	e := &entry{call: c, seq: q.seq}
 	q.waiting[c.ID] = e
-	heap.Push(&q.order, e)
-	heap.Push(&q.due, e)
+	heap.Push(&q.startOrder, e)
+	heap.Push(&q.expiryOrder, e)
 	return Wait{}
 }
 
-// Finish ends a call that ran for the given time and returns the calls that start.
+// Finish frees the slot of a call that ran for the given time and returns the calls that start.
 func (q *Queue) Finish(id uint64, ran time.Duration) []Event {
 	if _, ok := q.running[id]; !ok {
 		return nil
 	}
 	delete(q.running, id)
-	if seconds := ran.Seconds(); q.run == 0 {
-		q.run = seconds
+	if seconds := ran.Seconds(); q.meanRunTime == 0 {
+		q.meanRunTime = seconds
 	} else {
-		q.run += (seconds - q.run) * runGain
+		q.meanRunTime += (seconds - q.meanRunTime) * runTimeGain
 	}
-	return q.start()
+	return q.startWaiting()
 }
 
-// Cancel takes a call out of the queue, or ends one that runs without learning from it.
+// Cancel removes a waiting call, or frees the slot of a running one without updating the mean run time. It returns the calls
+// that start.
 func (q *Queue) Cancel(id uint64) []Event {
 	if e, ok := q.waiting[id]; ok {
 		q.remove(e)
@@ -147,34 +150,34 @@
 		return nil
 	}
 	delete(q.running, id)
-	return q.start()
+	return q.startWaiting()
 }
 
-// Expire returns the calls whose latest start has passed.
+// Expire removes and returns the waiting calls whose latest start has passed.
 func (q *Queue) Expire(now time.Time) []Event {
 	var events []Event
-	for q.due.Len() > 0 && !now.Before(q.due.entries[0].call.Latest) {
-		e := q.due.entries[0]
+	for q.expiryOrder.Len() > 0 && !now.Before(q.expiryOrder.entries[0].call.Latest) {
+		e := q.expiryOrder.entries[0]
 		q.remove(e)
 		events = append(events, Expired{e.call.ID})
 	}
 	return events
 }
 
-// Load returns the room that is left.
+// Load returns the current load.
 func (q *Queue) Load() Load {
-	l := Load{Running: len(q.running), Waiting: q.order.Len(), Limit: q.limit}
+	l := Load{Running: len(q.running), Waiting: q.startOrder.Len(), Limit: q.limit}
 	if l.Running >= l.Limit {
 		l.Wait = q.waitBehind(l.Waiting)
 	}
 	return l
 }
 
-// start starts waiting calls while slots are free.
-func (q *Queue) start() []Event {
+// startWaiting starts waiting calls while slots are free.
+func (q *Queue) startWaiting() []Event {
 	var events []Event
-	for q.order.Len() > 0 && len(q.running) < q.limit {
-		e := q.order.entries[0]
+	for q.startOrder.Len() > 0 && len(q.running) < q.limit {
+		e := q.startOrder.entries[0]
 		q.remove(e)
 		q.running[e.call.ID] = struct{}{}
 		events = append(events, Started{e.call.ID})
@@ -182,29 +185,29 @@
 	return events
 }
 
-// estimate returns how long a call would wait behind those that go before it.
-func (q *Queue) estimate(c Call) time.Duration {
+// estimateWait returns the estimated queueing delay of a new call, behind the waiting calls that start before it.
+func (q *Queue) estimateWait(c Call) time.Duration {
 	ahead := 0
 	probe := &entry{call: c, seq: q.seq + 1}
-	for _, e := range q.order.entries {
-		if e.before(probe) {
+	for _, e := range q.startOrder.entries {
+		if e.startsBefore(probe) {
 			ahead++
 		}
 	}
 	return q.waitBehind(ahead)
 }
 
-// waitBehind returns the time until a slot is free for the call behind that many others.
+// waitBehind returns the estimated time until a slot is free for a call with that many calls ahead of it.
 func (q *Queue) waitBehind(ahead int) time.Duration {
-	run := q.run
-	if run == 0 {
-		run = firstRun.Seconds()
+	meanRunTime := q.meanRunTime
+	if meanRunTime == 0 {
+		meanRunTime = initialRunTime.Seconds()
 	}
-	return time.Duration(run * float64(ahead+1) / float64(max(q.limit, 1)) * float64(time.Second))
+	return time.Duration(meanRunTime * float64(ahead+1) / float64(max(q.limit, 1)) * float64(time.Second))
 }
 
 func (q *Queue) remove(e *entry) {
 	delete(q.waiting, e.call.ID)
-	heap.Remove(&q.order, e.index[byOrder])
-	heap.Remove(&q.due, e.index[byDue])
+	heap.Remove(&q.startOrder, e.index[byStart])
+	heap.Remove(&q.expiryOrder, e.index[byExpiry])
 }
--- a/slots/queue_test.go
+++ b/slots/queue_test.go
@@ -22,7 +22,8 @@
 	return q
 }
 
-// Guards against a less important call that starts before a more important one, or a later one of its rank.
+// Guards against a less important call that starts before a more important one, and a later call that starts before an earlier
+// one of the same rank.
 func TestImportantCallsStartFirst(t *testing.T) {
 	q := queue(1)
 	require.Equal(t, slots.Start{}, q.Arrive(start, call(1, 2, time.Second)))
@@ -35,8 +36,8 @@
 	}
 }
 
-// Guards against a call that waits although it is known that it can't start in time, and against one that is refused
-// although only less important calls wait.
+// Guards against queueing a call whose estimated wait exceeds its latest start, and against refusing a call although only less
+// important calls wait.
 func TestCallIsRefusedAtOnceWhenTheWaitIsTooLong(t *testing.T) {
 	q := queue(1)
 	q.Arrive(start, call(1, 2, 0))
@@ -48,7 +49,7 @@
 	require.Equal(t, slots.Wait{}, q.Arrive(start, call(6, 0, 1100*time.Millisecond)))
 }
 
-// Guards against a waiting call that starts after a close, when its backend server is leaving.
+// Guards against a waiting call that starts after Close, while the backend server drains.
 func TestCloseRefusesWaitingAndLaterCalls(t *testing.T) {
 	q := queue(1)
 	q.Arrive(start, call(1, 0, time.Second))
@@ -60,7 +61,8 @@
 	require.Equal(t, slots.Start{}, q.Arrive(start, call(4, 0, time.Second)))
 }
 
-// Guards against more calls than slots, calls that are settled twice or never, and a start after the latest start.
+// Guards against more running calls than slots, a queued call with no event or more than one, an expiry before the latest start,
+// and a free slot while calls wait.
 func TestQueueSettlesEachCallOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 4).Draw(t, "limit")
