--- a/pressure/doc.go
+++ b/pressure/doc.go
@@ -1,3 +1,3 @@
-// Package pressure keeps, at the node where a request enters, the admission levels learned from answers and the fair
-// shares of callers. It does no I/O.
+// Package pressure sheds load at the node where a request enters. Levels holds the admission level of each operation as
+// learned from answers, and Shares marks the requests beyond a caller's max-min fair share. The package does no I/O.
 package pressure
--- a/pressure/levels_test.go
+++ b/pressure/levels_test.go
@@ -21,7 +21,7 @@
 
 const ms = time.Millisecond
 
-// Guards against a learned level that is ignored, held for another operation, or held without confirmation.
+// Guards against a learned level that is ignored, applied to another operation, or kept without confirmation.
 // Mutation: Admit always true; inForce without the release.
 func TestLevelIsLearnedAndReleased(t *testing.T) {
 	var l pressure.Levels
@@ -45,7 +45,7 @@
 	require.Less(t, level.Key(), strict.Key()+100, "released in steps")
 }
 
-// Guards against a level that stays because nothing beyond it is ever tried, and against probes that are many.
+// Guards against a level that stays strict because no request beyond it is admitted, and against too many probes.
 // Mutation: probeInterval of an hour, or of 0.
 func TestProbes(t *testing.T) {
 	var l pressure.Levels
@@ -59,8 +59,8 @@
 	require.InDelta(t, 20, probes, 2)
 }
 
-// Guards against one strict backend server of six that sheds what the others serve, and against a level that many lax
-// answers do not lift.
+// Guards against one strict backend server of six that sheds requests that the others can serve, and against a level that many
+// less strict answers do not raise.
 // Mutation: the strictest answer always wins; a less strict answer changes nothing.
 func TestAnswersOfSeveralBackendServers(t *testing.T) {
 	var l pressure.Levels
@@ -82,8 +82,8 @@
 	require.Equal(t, call.LeastImportant, level)
 }
 
-// Guards against a level outside what the answers said, one that survives 3 s without confirmation, and one that refuses
-// what is at least as important as all of them.
+// Guards against a level stricter than every answer, one that stays for 3 s without confirmation, and one that refuses a
+// request as important as the strictest answer.
 // Mutation: Learn moving the level by twice the distance.
 func TestLevelStaysWithinTheAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -104,12 +104,12 @@
 	})
 }
 
-// Guards against memory that grows with the names of operations, classes and callers.
+// Guards against unbounded memory for the names of operations, classes and callers.
 // Mutation: maxOperations, maxClasses or maxCallers of 1<<30.
 func TestTablesAreBounded(t *testing.T) {
 	var l pressure.Levels
 	var s pressure.Shares
-	run := func(from, to int) uint64 {
+	heapAfter := func(from, to int) uint64 {
 		for i := from; i < to; i++ {
 			name := fmt.Sprint("name-", i)
 			l.Learn(epoch, name, strict)
@@ -121,8 +121,8 @@
 		runtime.ReadMemStats(&stats)
 		return stats.HeapAlloc
 	}
-	before := run(0, 5000)
-	require.Less(t, run(5000, 50000), before+1<<20)
+	before := heapAfter(0, 5000)
+	require.Less(t, heapAfter(5000, 50000), before+1<<20)
 	runtime.KeepAlive(&l)
 	runtime.KeepAlive(&s)
 }
--- a/pressure/shares.go
+++ b/pressure/shares.go
@@ -9,58 +9,59 @@
 )
 
 const (
-	// maxClasses and maxCallers bound the tables; callers beyond them share no history.
+	// maxClasses and maxCallers bound the tables of classes and callers; callers beyond them have no history.
 	maxClasses = 64
 	maxCallers = 1024
-	// shareInterval is the time between two computations of the fair share.
+	// shareInterval is the period at which the fair share is computed.
 	shareInterval = 250 * time.Millisecond
-	// shareDecay is the part of the counts that is kept from one interval to the next.
+	// shareDecay is the fraction of the counts that is kept from one interval to the next.
 	shareDecay = 0.7
-	// forgetBelow is the decayed count below which a caller is forgotten.
-	forgetBelow = 0.05
-	// shareTolerance is how far a caller may exceed its share before its requests count as excess.
+	// minCallerCount is the decayed request count below which a caller is removed from its table.
+	minCallerCount = 0.05
+	// shareTolerance is the multiple of its fair share above which the requests of a caller count as excess.
 	shareTolerance = 1.1
 )
 
-// Shares tells which requests of a caller exceed its fair share of a class; its zero value is ready. The caller serializes
-// access to it.
+// Shares marks the requests of a caller that exceed its max-min fair share of a class. The zero value is ready to use. The
+// caller serializes access to it.
 type Shares struct {
 	classes *kernel.Table[string, class]
 }
 
-// class holds the recent requests of one class. The counts decay.
+// class holds the decaying request counts of one class.
 type class struct {
-	callers  *kernel.Table[string, usage]
-	requests float64
-	refused  float64
-	computed time.Time
-	scratch  []float64
+	callers      *kernel.Table[string, callerUsage]
+	requests     float64
+	refused      float64
+	lastComputed time.Time
+	scratch      []float64
 }
 
-type usage struct {
+// callerUsage holds the decaying request count of one caller and its excess.
+type callerUsage struct {
 	requests float64
-	// excess is the part of the caller's requests that exceeds its share.
-	excess float64
-	// due sums up excess; each time it reaches 1 a request is marked.
-	due float64
+	// excessShare is the fraction of the caller's requests that exceeds its fair share.
+	excessShare float64
+	// excessSum accumulates excessShare for each request; each time that it reaches 1, a request is marked as excess.
+	excessSum float64
 }
 
-// Value returns the value for a request: base (0..127) within the caller's fair share, base+128 beyond it.
+// Value counts a request and returns its priority value: base (0..127) within the caller's fair share, base+128 beyond it.
 func (s *Shares) Value(now time.Time, name, caller string, base uint8) uint8 {
 	c := s.class(now, name)
 	c.requests++
 	u := c.callers.Put(caller)
 	u.requests++
 	base &= call.FairValues - 1
-	if u.due += u.excess; u.due >= 1 {
-		u.due--
+	if u.excessSum += u.excessShare; u.excessSum >= 1 {
+		u.excessSum--
 		return base + call.FairValues
 	}
 	return base
 }
 
-// Refused counts a request of the class that was shed anywhere. A class is contended while requests of it are refused;
-// without that nothing is marked as excess.
+// Refused counts a request of the class that was shed anywhere in the call graph. A class is contended while its requests are
+// refused; otherwise no request is marked as excess.
 func (s *Shares) Refused(now time.Time, name string) { s.class(now, name).refused++ }
 
 func (s *Shares) class(now time.Time, name string) *class {
@@ -69,56 +70,56 @@
 	}
 	c := s.classes.Put(name)
 	if c.callers == nil {
-		c.callers = kernel.NewTable[string, usage](maxCallers)
-		c.computed = now
+		c.callers = kernel.NewTable[string, callerUsage](maxCallers)
+		c.lastComputed = now
 	}
-	if intervals := now.Sub(c.computed) / shareInterval; intervals > 0 {
-		c.compute(int(min(intervals, 64)))
-		c.computed = now
+	if intervals := now.Sub(c.lastComputed) / shareInterval; intervals > 0 {
+		c.updateExcess(int(min(intervals, 64)))
+		c.lastComputed = now
 	}
 	return c
 }
 
-// compute sets the excess of each caller against the max-min fair share of the requests that were not refused, then lets
-// the counts decay.
-func (c *class) compute(intervals int) {
+// updateExcess sets the excess share of each caller from the max-min fair share of the requests that were not refused, then
+// decays the counts.
+func (c *class) updateExcess(intervals int) {
 	share := c.fairShare() * shareTolerance
-	keep := 1.0
+	retained := 1.0
 	for range intervals {
-		keep *= shareDecay
+		retained *= shareDecay
 	}
-	c.callers.Each(func(_ string, u *usage) bool {
-		u.excess = 0
+	c.callers.Each(func(_ string, u *callerUsage) bool {
+		u.excessShare = 0
 		if share > 0 && u.requests > share {
-			u.excess = 1 - share/u.requests
+			u.excessShare = 1 - share/u.requests
 		}
-		u.requests *= keep
-		return u.requests >= forgetBelow
+		u.requests *= retained
+		return u.requests >= minCallerCount
 	})
-	c.requests *= keep
-	c.refused *= keep
+	c.requests *= retained
+	c.refused *= retained
 }
 
-// fairShare returns the largest share such that all callers limited to it fit into what was admitted, or 0 when the class
-// is not contended.
+// fairShare returns the max-min fair share: the largest share such that the requests of all callers, each limited to it, fit
+// into the admitted requests. It returns 0 if the class is not contended.
 func (c *class) fairShare() float64 {
-	// Less than one refusal is what is left by decay.
+	// A count below one is the decayed rest of earlier refusals.
 	if c.refused < 1 {
 		return 0
 	}
 	c.scratch = c.scratch[:0]
-	c.callers.Each(func(_ string, u *usage) bool {
+	c.callers.Each(func(_ string, u *callerUsage) bool {
 		c.scratch = append(c.scratch, u.requests)
 		return true
 	})
 	slices.Sort(c.scratch)
-	left := max(1, c.requests-c.refused)
+	remaining := max(1, c.requests-c.refused)
 	for i, requests := range c.scratch {
-		share := left / float64(len(c.scratch)-i)
+		share := remaining / float64(len(c.scratch)-i)
 		if requests >= share {
 			return share
 		}
-		left -= requests
+		remaining -= requests
 	}
 	return 0
 }
--- a/pressure/shares_test.go
+++ b/pressure/shares_test.go
@@ -12,16 +12,16 @@
 	"lovagelane/pressure"
 )
 
-// demand sends requests of callers at rates per second through shares for a while, refuses what is beyond capacity (first
-// the excess), and returns the part of each caller's requests that was marked in the last second.
-func demand(s *pressure.Shares, start time.Time, length time.Duration, capacity float64, rates ...float64) []float64 {
-	due, marked, sent := make([]float64, len(rates)), make([]float64, len(rates)), make([]float64, len(rates))
+// simulateDemand sends the requests of callers, at the given rates per second, through s. It records the requests beyond
+// capacity as refused, and returns the share of each caller's requests that was marked as excess in the last second.
+func simulateDemand(s *pressure.Shares, start time.Time, length time.Duration, capacity float64, rates ...float64) []float64 {
+	pending, marked, sent := make([]float64, len(rates)), make([]float64, len(rates)), make([]float64, len(rates))
 	var offered, excess float64
-	refuse := 0.0
+	refusals := 0.0
 	for at := time.Duration(0); at < length; at += ms {
 		now := start.Add(at)
 		for i, rate := range rates {
-			for due[i] += rate / 1000; due[i] >= 1; due[i]-- {
+			for pending[i] += rate / 1000; pending[i] >= 1; pending[i]-- {
 				value := s.Value(now, "orders", fmt.Sprint("caller", i), 5)
 				offered++
 				if value >= call.FairValues {
@@ -39,7 +39,7 @@
 		for _, rate := range rates {
 			total += rate
 		}
-		for refuse += max(0, total-capacity) / 1000; refuse >= 1; refuse-- {
+		for refusals += max(0, total-capacity) / 1000; refusals >= 1; refusals-- {
 			s.Refused(now, "orders")
 		}
 	}
@@ -49,8 +49,9 @@
 	return marked
 }
 
-// Guards against marking callers of a class that is not contended, callers within their share, or not marking a surge.
-// Mutation: left halved in fairShare; excess always 0; fairShare without left -= requests.
+// Guards against marking requests in a class that is not contended or of callers within their fair share, and against not
+// marking a surge.
+// Mutation: remaining halved in fairShare; excessShare always 0; fairShare without remaining -= requests.
 func TestExcessIsMarked(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -67,19 +68,19 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var s pressure.Shares
-			got := demand(&s, epoch, 5*time.Second, test.capacity, test.rates...)
+			got := simulateDemand(&s, epoch, 5*time.Second, test.capacity, test.rates...)
 			for i := range test.want {
 				require.InDelta(t, test.want[i], got[i], 0.05, "caller %d", i)
 			}
-			// Contention is forgotten.
-			for _, v := range demand(&s, epoch.Add(10*time.Second), 2*time.Second, 1e9, test.rates...) {
+			// After the refusals stop, no request is marked.
+			for _, v := range simulateDemand(&s, epoch.Add(10*time.Second), 2*time.Second, 1e9, test.rates...) {
 				require.Zero(t, v)
 			}
 		})
 	}
 }
 
-// Guards against values outside 0..127 within the share and 128..255 beyond it, and against a changed base value.
+// Guards against values outside 0..127 within the fair share or outside 128..255 beyond it, and against a changed base.
 // Mutation: Value without the mask of the base.
 func TestValuesKeepTheBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/pressure/size_test.go
+++ b/pressure/size_test.go
@@ -10,10 +10,10 @@
 	"lovagelane/pressure"
 )
 
-// measured is the bound on the tables.
-const measured = 1024
+// tableSize is the bound on the tables of operations and callers.
+const tableSize = 1024
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -21,28 +21,28 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkStateMemory measures the heap of a learned level and of a caller's share.
+// BenchmarkStateMemory reports the heap bytes per learned level and per caller's share.
 func BenchmarkStateMemory(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	b.Run("level", func(b *testing.B) {
 		for b.Loop() {
-			before := heap()
+			before := heapBytes()
 			var l pressure.Levels
-			for i := range measured {
+			for i := range tableSize {
 				l.Learn(now, fmt.Sprintf("GET /service-%d/page", i), call.Priority{Rank: 4, Value: 3})
 			}
-			b.ReportMetric(float64(heap()-before)/measured, "B/operation")
+			b.ReportMetric(float64(heapBytes()-before)/tableSize, "B/operation")
 			runtime.KeepAlive(&l)
 		}
 	})
 	b.Run("share", func(b *testing.B) {
 		for b.Loop() {
-			before := heap()
+			before := heapBytes()
 			var s pressure.Shares
-			for i := range measured {
+			for i := range tableSize {
 				s.Value(now, "orders", fmt.Sprintf("workshop-%d", i), 1)
 			}
-			b.ReportMetric(float64(heap()-before)/measured, "B/caller")
+			b.ReportMetric(float64(heapBytes()-before)/tableSize, "B/caller")
 			runtime.KeepAlive(&s)
 		}
 	})
