--- a/admission/learned.go
+++ b/admission/learned.go
@@ -27,8 +27,8 @@
 	baseLatencyGain = 0.25
 	// immediateTolerance is the ratio of the median to the unloaded latency at which a single window lowers the limit.
 	immediateTolerance = 2 * latencyTolerance
-	// baseDecayPerSecond is the fraction by which the unloaded latency decays each second after it was raised, so that a
-	// wrong raise is corrected after about 10 s.
+	// baseDecayPerSecond is the fraction by which the unloaded latency decays each second after it was raised, so that the
+	// limit is lowered again after about 10 s if the raise was wrong.
 	baseDecayPerSecond = 0.05
 	// minShrinkFactor is the smallest factor that one reduction applies to the limit.
 	minShrinkFactor = 0.5
--- a/admission/level.go
+++ b/admission/level.go
@@ -12,7 +12,8 @@
 	// backend server with 100 calls per second sees only 5 in a window, too few to set the level; with a time constant of
 	// 0.5 s it shed 2% of an important class that used 85% of the capacity.
 	countDecay = 0.95
-	// minDecrease and baseIncrease are the fractions by which the quota falls or rises in one window.
+	// minDecrease is the minimum fraction by which the quota is lowered in one window, and baseIncrease is the fraction by
+	// which it is raised before any doubling.
 	minDecrease  = 0.05
 	baseIncrease = 0.01
 	// maxDecrease bounds the decrease in one window when many calls are dropped.
