--- a/node/admin.go
+++ b/node/admin.go
@@ -17,7 +17,7 @@
 	drainTimeout = 5 * time.Minute
 )
 
-// Status is what a node tells operators.
+// Status is the state that a node reports to operators.
 type Status struct {
 	Member               membership.Member   `json:"member"`
 	Addresses            Addresses           `json:"addresses"`
@@ -30,9 +30,9 @@
 	Members              []membership.Member `json:"members"`
 }
 
-// Status returns the node's state.
+// Status returns the current state of the node and its view of the other members.
 func (n *Node) Status() Status {
-	level, load := n.gate.report()
+	level, load := n.gate.levelAndLoad()
 	s := Status{Member: n.self, Addresses: n.addresses, Draining: n.draining.Load(), BackendServerUp: n.backend.isUp(),
 		InFlight: n.flights.count(), Level: level.String(), Load: load, Members: []membership.Member{}}
 	if cfg := n.config.Load(); cfg != nil {
@@ -51,7 +51,7 @@
 	return s
 }
 
-// handleAdmin serves operators on the admin listener.
+// handleAdmin serves the admin listener.
 func (n *Node) handleAdmin(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/status":
@@ -68,7 +68,7 @@
 	}
 }
 
-// handleOperator serves an operator's command on the calls listener.
+// handleOperator serves a request with an operator's key on the calls listener.
 func (n *Node) handleOperator(ctx *fasthttp.RequestCtx, path string) {
 	switch path {
 	case fleet.PathVersion:
@@ -100,7 +100,7 @@
 	writeJSON(ctx, n.Status())
 }
 
-// writeVersion tells the configuration version in force.
+// writeVersion writes the version of the configuration in force, 0 if there is none.
 func (n *Node) writeVersion(ctx *fasthttp.RequestCtx) {
 	version := uint64(0)
 	if cfg := n.config.Load(); cfg != nil {
--- a/node/backend.go
+++ b/node/backend.go
@@ -18,17 +18,17 @@
 const (
 	// dialTimeout bounds a connection attempt; a new connection costs about 1 ms.
 	dialTimeout = 500 * time.Millisecond
-	// backendIdle is how long a connection to the backend server may be idle; it is short so that the backend server does
-	// not close a connection at the moment when a call is sent on it.
-	backendIdle = 4 * time.Second
+	// backendIdleTimeout is how long a connection to the backend server may be idle. It is short, so that the backend server
+	// does not close a connection just as a call is sent on it.
+	backendIdleTimeout = 4 * time.Second
 	// healthTimeout bounds a health check.
 	healthTimeout = 2 * time.Second
 )
 
-// errDial marks an attempt that never reached the other end.
+// errDial marks an attempt whose connection was never established.
 var errDial = errors.New("no connection")
 
-// dial opens a TCP connection and marks a failure as errDial.
+// dial opens a TCP connection. A failure wraps errDial.
 func dial(address string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -37,36 +37,36 @@
 	return conn, nil
 }
 
-// newClient returns an HTTP client for one address that never resends by itself.
+// newClient returns an HTTP client for one address. It never retries a request by itself.
 func newClient(address string, connect func(string) (net.Conn, error), idle time.Duration) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
-		Addr: address, Dial: connect, MaxIdleConnDuration: idle, MaxIdemponentCallAttempts: 1, MaxConns: workers,
+		Addr: address, Dial: connect, MaxIdleConnDuration: idle, MaxIdemponentCallAttempts: 1, MaxConns: maxWorkers,
 		StreamResponseBody: true, DisablePathNormalizing: true, DisableHeaderNamesNormalizing: false,
-		NoDefaultUserAgentHeader: true, ReadBufferSize: maxHeaders, MaxResponseBodySize: bufferedBody,
+		NoDefaultUserAgentHeader: true, ReadBufferSize: maxHeaderBytes, MaxResponseBodySize: maxBufferedBody,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 }
 
-// backend is the own backend server.
+// backend is the client side of this node's own backend server.
 type backend struct {
 	address string
 	client  atomic.Pointer[fasthttp.HostClient]
 
-	mu          sync.Mutex
-	stated      int
-	connections int
-	crashes     uint64
-	up          bool
+	mu              sync.Mutex
+	configuredSlots int
+	connections     int
+	crashes         uint64
+	up              bool
 }
 
 func newBackend(address string) *backend {
 	b := &backend{address: address}
-	b.client.Store(newClient(address, dial, backendIdle))
+	b.client.Store(newClient(address, dial, backendIdleTimeout))
 	return b
 }
 
-// setConnections bounds the connections by what the inventory states. Without a limit on calls in flight only the
-// connections are bounded.
+// setConnections sets the maximum number of connections from the inventory: the smaller of slots and connections. Without a
+// concurrency limit, connections alone is the maximum.
 func (b *backend) setConnections(slots, connections int, limited bool) {
 	limit := slots
 	if connections > 0 && (limit <= 0 || connections < limit || !limited) {
@@ -74,27 +74,28 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stated = slots
+	b.configuredSlots = slots
 	if limit <= 0 || limit == b.connections {
 		return
 	}
 	b.connections = limit
-	client := newClient(b.address, dial, backendIdle)
-	// One connection more than slots carries health checks and cancellations.
+	client := newClient(b.address, dial, backendIdleTimeout)
+	// One connection beyond the slots is for health checks and cancellations.
 	client.MaxConns = limit + 1
 	client.MaxConnWaitTimeout = dialTimeout
 	b.client.Store(client)
 }
 
-// slots returns the slots that the inventory states.
+// slots returns the number of slots that the inventory configures.
 func (b *backend) slots() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.stated
+	return b.configuredSlots
 }
 
-// crashed records that the backend server process is gone and reports whether this is the first call to notice.
-func (b *backend) crashed() (uint64, bool) {
+// recordCrash marks the backend server as down and returns the number of the crash. It reports false when the crash was
+// already recorded.
+func (b *backend) recordCrash() (uint64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.up {
@@ -119,8 +120,8 @@
 	return b.up
 }
 
-// gone reports whether the backend server refuses connections, as it does when its process has ended.
-func (b *backend) gone() bool {
+// refusesConnections reports whether a new connection to the backend server fails, as it does after its process has ended.
+func (b *backend) refusesConnections() bool {
 	conn, err := net.DialTimeout("tcp", b.address, dialTimeout)
 	if err != nil {
 		return true
@@ -129,9 +130,9 @@
 	return false
 }
 
-// healthy asks the backend server's health endpoint. An answer that is late says nothing: a loaded backend server that was
-// taken out for it would put its load on the others.
-func (b *backend) healthy() (up, known bool) {
+// probe requests the backend server's health endpoint. A timeout is inconclusive (known is false): marking an overloaded
+// backend server as down would shift its load to the others.
+func (b *backend) probe() (up, known bool) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -144,24 +145,25 @@
 	return err == nil && resp.StatusCode() == fasthttp.StatusOK, true
 }
 
-// cancel tells the backend server that the caller of a call gave up.
-func (b *backend) cancel(flightContext string) {
+// cancel notifies the backend server that the caller of a call gave up.
+func (b *backend) cancel(contextID string) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("http://" + b.address + "/lovagelane/cancel")
-	req.Header.Set(headerContext, flightContext)
+	req.Header.Set(headerContext, contextID)
 	_ = b.client.Load().DoTimeout(req, resp, healthTimeout)
 	_ = resp.CloseBodyStream()
 }
 
-// checkHealth announces whether the own backend server takes calls.
+// checkHealth probes the own backend server and announces a change of its state to the other nodes.
 func (n *Node) checkHealth(context.Context) {
-	up, known := n.backend.healthy()
+	up, known := n.backend.probe()
 	if known && !up {
-		// The check may meet a crash before the calls in flight do, which must be put down to them all the same.
-		n.noteCrash()
+		// The health check may detect a crash before the calls in flight fail. The crash is attributed to these calls in
+		// either case.
+		n.reportCrash()
 	}
 	if !known || !n.backend.setUp(up) || n.draining.Load() {
 		return
@@ -175,38 +177,40 @@
 	n.log.Info("backend-server-state", "state", state)
 }
 
-// brokeOff gives a number to the loss of one call at a backend server that takes connections.
-func (b *backend) brokeOff() uint64 {
+// countConnectionLoss counts the loss of one call's connection to a backend server that still accepts connections, and
+// returns its number.
+func (b *backend) countConnectionLoss() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.crashes++
 	return b.crashes
 }
 
-// noteBrokenCall puts the loss of a call's connection down to that call alone, when the backend server takes connections. It
-// may have crashed and be back already; when the connection alone broke, the next good answer clears the suspicion.
-func (n *Node) noteBrokenCall(f *flight, err error) bool {
+// reportConnectionLoss attributes a lost connection to the call on it alone, while the backend server still accepts
+// connections. The backend server may have crashed and restarted already. If only the connection broke, the next good answer
+// clears the suspicion.
+func (n *Node) reportConnectionLoss(f *flight, err error) bool {
 	if !errors.Is(err, io.EOF) && !errors.Is(err, fasthttp.ErrConnectionClosed) && !errors.Is(err, syscall.ECONNRESET) {
 		return false
 	}
-	reports := n.poison.crashed(n.clock.Now(), crashID(n.self.ID, n.backend.brokeOff()), []uint64{f.meta.Digest})
+	reports := n.quarantined.recordCrash(n.clock.Now(), crashID(n.self.ID, n.backend.countConnectionLoss()), []uint64{f.meta.Digest})
 	n.log.Warn("backend-server-broke-off", "request", f.meta.RequestID, "error", err, "suspects", len(reports))
 	n.metrics.Add("backend-server-broken-calls", 1)
 	n.control.SpreadCrash(reports)
 	return true
 }
 
-// noteCrash marks the digests that were running when the backend server's process ended.
-func (n *Node) noteCrash() {
-	if !n.backend.gone() {
+// reportCrash reports the digests that were running when the backend server's process ended.
+func (n *Node) reportCrash() {
+	if !n.backend.refusesConnections() {
 		return
 	}
-	number, first := n.backend.crashed()
+	crash, first := n.backend.recordCrash()
 	if !first {
 		return
 	}
 	digests := n.flights.runningDigests()
-	reports := n.poison.crashed(n.clock.Now(), crashID(n.self.ID, number), digests)
+	reports := n.quarantined.recordCrash(n.clock.Now(), crashID(n.self.ID, crash), digests)
 	n.log.Warn("backend-server-crashed", "in-flight", len(digests), "suspects", len(reports))
 	n.metrics.Add("backend-server-crashes", 1)
 	n.choosers.update(n, *n.members.Load())
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -7,18 +7,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// BenchmarkCall measures a call from a caller through an entry node and a serving node; BenchmarkDirectCall is its
-// baseline without nodes.
+// BenchmarkCall measures a call from a caller through an entry node and a serving node. BenchmarkDirectCall is the baseline
+// without nodes.
 func BenchmarkCall(b *testing.B) {
-	w := newWorld(b, chainInventory, chainRules)
-	entry := w.station("nursery", text("ok"))
-	w.station("payments", text("paid"))
+	d := newDeployment(b, chainInventory, chainRules)
+	entry := d.startInstance("nursery", text("ok"))
+	d.startInstance("payments", text("paid"))
 	benchmarkCalls(b, "http://"+entry.Addresses().Callers+"/payments/quote")
 }
 
 func BenchmarkDirectCall(b *testing.B) {
-	w := newWorld(b, chainInventory, chainRules)
-	payments := w.station("payments", text("paid"))
+	d := newDeployment(b, chainInventory, chainRules)
+	payments := d.startInstance("payments", text("paid"))
 	benchmarkCalls(b, "http://"+payments.address+"/quote")
 }
 
--- a/node/body.go
+++ b/node/body.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// discardedBody is how much of a refused body is read and thrown away, in bytes.
-	discardedBody = 16 << 20
-	// discardTimeout bounds the time spent on a refused body.
+	// maxDiscardedBytes is how much of a refused body is read and discarded.
+	maxDiscardedBytes = 16 << 20
+	// discardTimeout bounds the time spent reading a refused body.
 	discardTimeout = 2 * time.Second
 )
 
-// body is a request body: buffered or streamed.
+// body is a request body, either buffered or streamed.
 type body interface{ size() int }
 
-// buffered is a body held in memory, which can be sent more than once.
+// buffered is a body in memory, which can be sent more than once.
 type buffered []byte
 
-// streamed is a body that is passed on as it arrives, which can be sent only once.
+// streamed is a body that is forwarded as it arrives, which can be sent only once.
 type streamed struct {
 	r      io.Reader
 	length int
@@ -33,41 +33,41 @@
 func (b buffered) size() int { return len(b) }
 func (b streamed) size() int { return b.length }
 
-// readBody reads a body of at most bufferedBody bytes into memory and passes a larger one on as a stream.
+// readBody reads a body of at most maxBufferedBody bytes into memory and returns a larger one as a stream.
 func readBody(ctx *fasthttp.RequestCtx, limit int64) (body, call.Reason) {
 	length := ctx.Request.Header.ContentLength()
 	if limit > 0 && int64(length) > limit {
 		return nil, call.ReasonBodyTooLarge
 	}
-	if length > bufferedBody {
+	if length > maxBufferedBody {
 		return streamed{r: ctx.RequestBodyStream(), length: length}, call.ReasonNone
 	}
 	r := ctx.RequestBodyStream()
 	if r == nil {
 		return buffered(append([]byte(nil), ctx.Request.Body()...)), call.ReasonNone
 	}
-	// The size of a chunked body is not known ahead: it must fit the buffer.
-	b, err := io.ReadAll(io.LimitReader(r, bufferedBody+1))
+	// The size of a chunked body is not known in advance, so it must fit the buffer.
+	b, err := io.ReadAll(io.LimitReader(r, maxBufferedBody+1))
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return nil, call.ReasonBodyTooSlow
 	case err != nil:
 		return nil, call.ReasonBadRequest
-	case len(b) > bufferedBody:
+	case len(b) > maxBufferedBody:
 		return nil, call.ReasonBodyTooLarge
 	}
 	return buffered(b), call.ReasonNone
 }
 
-// discardBody reads the rest of a refused body, so that the caller sees the refusal instead of a reset connection.
+// discardBody reads the rest of a refused body, so that the caller receives the refusal instead of a connection reset.
 func discardBody(ctx *fasthttp.RequestCtx) {
 	r := ctx.RequestBodyStream()
 	if r == nil {
 		return
 	}
 	_ = ctx.Conn().SetReadDeadline(time.Now().Add(discardTimeout))
-	_, _ = io.CopyN(io.Discard, r, discardedBody)
+	_, _ = io.CopyN(io.Discard, r, maxDiscardedBytes)
 }
 
 // setBody attaches a body to an outgoing request.
@@ -80,14 +80,15 @@
 	}
 }
 
-// takeBody returns the whole body of an answer when it is small; a larger one stays a stream.
-func takeBody(resp *fasthttp.Response) ([]byte, bool, error) {
+// readResponseBody returns the whole body of a response of at most maxBufferedBody bytes. It reports false for a larger
+// body, or one of unknown length, which stays a stream.
+func readResponseBody(resp *fasthttp.Response) ([]byte, bool, error) {
 	stream := resp.BodyStream()
 	if stream == nil {
 		return resp.Body(), true, nil
 	}
 	length := resp.Header.ContentLength()
-	if length > bufferedBody || length < 0 {
+	if length > maxBufferedBody || length < 0 {
 		return nil, false, nil
 	}
 	b := make([]byte, length)
@@ -98,17 +99,17 @@
 	return b, true, resp.CloseBodyStream()
 }
 
-// closingStream passes on a stream and calls done once when it ends.
+// closingStream is a response body that calls onClose once when it is closed.
 type closingStream struct {
 	io.Reader
-	done func()
+	onClose func()
 }
 
-// Close calls done.
+// Close calls onClose.
 func (s *closingStream) Close() error {
-	if s.done != nil {
-		s.done()
-		s.done = nil
+	if s.onClose != nil {
+		s.onClose()
+		s.onClose = nil
 	}
 	return nil
 }
--- a/node/caller.go
+++ b/node/caller.go
@@ -16,56 +16,57 @@
 
 const (
 	pathNodes = "/lovagelane/nodes"
-	// listedNodes is the number of addresses that a caller is given to choose from.
-	listedNodes = 8
-	// maxCallerName and maxRequestID bound what callers state, in bytes.
+	// maxListedNodes is the number of addresses of other nodes that a caller gets to choose from.
+	maxListedNodes = 8
+	// maxCallerName and maxRequestID bound the values that callers send, in bytes.
 	maxCallerName = 64
 	maxRequestID  = 64
 )
 
-// handleCaller serves the callers listener: requests that enter the deployment.
+// handleCaller serves the callers listener, where requests enter the deployment.
 func (n *Node) handleCaller(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Request.Header.RequestURI()) == pathNodes {
 		n.writeNodes(ctx)
 		return
 	}
-	if dropped := internalHeaders(&ctx.Request.Header); dropped > 0 {
+	if dropped := countInternalHeaders(&ctx.Request.Header); dropped > 0 {
 		n.metrics.Add("internal-headers-dropped", int64(dropped))
 	}
-	n.outside.Add(1)
-	defer n.outside.Add(-1)
+	n.entryCount.Add(1)
+	defer n.entryCount.Add(-1)
 	if n.refusing.Load() {
 		ctx.SetConnectionClose()
 		n.refuseCaller(ctx, nil, refusal(call.ReasonDraining, call.OutcomeNotRun, ""))
 		return
 	}
-	n.enter(ctx, "")
+	n.handleEntry(ctx, "")
 }
 
-// incoming is a request as it is matched with the rules.
-type incoming struct {
+// matchedRequest is a request with the operation that the rules assign to it.
+type matchedRequest struct {
 	op     inventory.Operation
 	target string
 	body   body
 }
 
-// read matches a request with the rules and reads its body. It answers a request that cannot be carried and returns false.
-func (n *Node) read(ctx *fasthttp.RequestCtx) (incoming, bool) {
+// matchRequest looks up the operation of a request in the rules and reads its body. If the request cannot be forwarded, it
+// writes the refusal and returns false.
+func (n *Node) matchRequest(ctx *fasthttp.RequestCtx) (matchedRequest, bool) {
 	cfg := n.config.Load()
 	if cfg == nil {
 		n.refuseCaller(ctx, nil, refusal(call.ReasonNoConfiguration, call.OutcomeNotRun, ""))
-		return incoming{}, false
+		return matchedRequest{}, false
 	}
 	name, target := splitPath(ctx.Request.Header.RequestURI())
 	service, ok := cfg.Service(name)
 	if !ok {
 		n.refuseCaller(ctx, nil, refusal(call.ReasonUnknownService, call.OutcomeNotRun, ""))
-		return incoming{}, false
+		return matchedRequest{}, false
 	}
 	path, ok := rulePath(ctx, name)
 	if !ok {
 		n.refuseCaller(ctx, nil, refusal(call.ReasonBadRequest, call.OutcomeNotRun, ""))
-		return incoming{}, false
+		return matchedRequest{}, false
 	}
 	op := cfg.Operation(name, string(ctx.Method()), path)
 	b, reason := readBody(ctx, service.MaxBody)
@@ -73,38 +74,38 @@
 		discardBody(ctx)
 		ctx.SetConnectionClose()
 		n.refuseCaller(ctx, &op, refusal(reason, call.OutcomeNotRun, service.Line.String()))
-		return incoming{}, false
+		return matchedRequest{}, false
 	}
-	return incoming{op: op, target: target, body: b}, true
+	return matchedRequest{op: op, target: target, body: b}, true
 }
 
-// enter takes a request into the deployment: class, value, deadline and retry account come from the rules. The caller is
-// empty for a request from outside, whose claims are checked.
-func (n *Node) enter(ctx *fasthttp.RequestCtx, caller string) {
+// handleEntry handles a request that enters the deployment. Class, priority value, deadline and retry budget come from the
+// rules. The caller is empty for a request from outside, whose headers are checked.
+func (n *Node) handleEntry(ctx *fasthttp.RequestCtx, caller string) {
 	arrived := n.clock.Now()
-	in, ok := n.read(ctx)
+	in, ok := n.matchRequest(ctx)
 	if !ok {
 		return
 	}
 	op := in.op
-	out := n.outboundOf(ctx, in, arrived, caller)
-	if n.poison.refuses(arrived, out.digest, 0) {
+	out := n.newOutbound(ctx, in, arrived, caller)
+	if n.quarantined.refuses(arrived, out.digest, 0) {
 		n.refuseCaller(ctx, &op, refusal(call.ReasonQuarantined, call.OutcomeNotRun, op.Line.String()))
 		return
 	}
 	if token := ctx.Request.Header.Peek(headerTicket); len(token) > 0 || op.NonIdempotent {
-		n.enterWithTicket(ctx, out, string(token))
+		n.handleTicketed(ctx, out, string(token))
 		return
 	}
-	n.enterIdempotent(ctx, out)
+	n.handleIdempotent(ctx, out)
 }
 
-// outboundOf builds the call that a request from outside becomes.
-func (n *Node) outboundOf(ctx *fasthttp.RequestCtx, in incoming, arrived time.Time, caller string) *outbound {
+// newOutbound builds the outbound call for an entry request.
+func (n *Node) newOutbound(ctx *fasthttp.RequestCtx, in matchedRequest, arrived time.Time, caller string) *outbound {
 	op := in.op
 	timeout := op.Timeout
-	if stated, ok := statedDeadline(&ctx.Request.Header); ok && stated < timeout {
-		timeout = stated
+	if requested, ok := requestedTimeout(&ctx.Request.Header); ok && requested < timeout {
+		timeout = requested
 	}
 	if caller == "" {
 		caller = n.callerName(ctx, string(ctx.Request.Header.Peek(headerCaller)))
@@ -116,29 +117,29 @@
 	if out.requestID == "" || len(out.requestID) > maxRequestID {
 		out.requestID = n.newRequestID()
 	}
-	out.digest = digestOf(out)
-	value := n.pressures.value(arrived, op.Class, caller, baseValue(n.ticketKeys[0], out.requestID))
+	out.digest = requestDigest(out)
+	value := n.entryAdmission.priorityValue(arrived, op.Class, caller, baseValue(n.ticketKeys[0], out.requestID))
 	out.priority = call.Priority{Rank: op.Rank, Value: value}
 	return out
 }
 
-// callerName returns the name by which a caller's share is counted. A name that the rules tie to addresses counts only
-// from those; other callers are known by their address.
-func (n *Node) callerName(ctx *fasthttp.RequestCtx, stated string) string {
+// callerName returns the name for which a caller's fair share is counted. A name that the rules bind to addresses is
+// accepted only from those addresses. A caller without an accepted name is counted by its address.
+func (n *Node) callerName(ctx *fasthttp.RequestCtx, name string) string {
 	address, _ := netip.AddrFromSlice(ctx.RemoteIP())
 	address = address.Unmap()
-	if stated == "" || len(stated) > maxCallerName {
+	if name == "" || len(name) > maxCallerName {
 		return address.String()
 	}
-	if known, ok := n.config.Load().Caller(stated); ok && !known.Allows(address) {
+	if configured, ok := n.config.Load().Caller(name); ok && !configured.Allows(address) {
 		n.metrics.Add("caller-names-refused", 1)
 		return address.String()
 	}
-	return stated
+	return name
 }
 
-// digestOf identifies a request by its content; a streamed body counts by its length.
-func digestOf(out *outbound) uint64 {
+// requestDigest identifies a request by its content. A streamed body is represented by its length.
+func requestDigest(out *outbound) uint64 {
 	target := "/" + out.op.Service + out.target
 	switch b := out.body.(type) {
 	case buffered:
@@ -148,45 +149,46 @@
 	}
 }
 
-// enterIdempotent carries a request that may run more than once, within the bound on its retries and resends.
-func (n *Node) enterIdempotent(ctx *fasthttp.RequestCtx, out *outbound) {
+// handleIdempotent forwards a request that may run more than once, within the bound on its retries and resends.
+func (n *Node) handleIdempotent(ctx *fasthttp.RequestCtx, out *outbound) {
 	now := n.clock.Now()
 	stated, _ := strconv.Atoi(string(ctx.Request.Header.Peek(headerResend)))
 	send := retry.Send{Caller: out.caller, RequestID: string(ctx.Request.Header.Peek(headerRequestID)), Digest: out.digest, Stated: stated}
-	a, resend, ok := n.requests.begin(now, send)
-	// A send that no backend server was tried for is no retry: counting it would refuse callers after an overload.
-	good := true
-	defer func() { n.requests.end(n.clock.Now(), send, resend, good) }()
+	budget, resend, ok := n.resends.begin(now, send)
+	// A send without an attempt at any backend server does not count as a retry. Otherwise callers would still be refused
+	// after an overload has ended.
+	gotAnswer := true
+	defer func() { n.resends.end(n.clock.Now(), send, resend, gotAnswer) }()
 	if !ok {
 		n.refuseCaller(ctx, &out.op, refusal(call.ReasonRetriesSpent, call.OutcomeNotRun, out.op.Line.String()))
 		return
 	}
-	out.account = a
-	if !n.pressures.admit(now, out.op.Name, out.priority) {
+	out.budget = budget
+	if !n.entryAdmission.admit(now, out.op.Name, out.priority) {
 		n.refuseCaller(ctx, &out.op, refusal(call.ReasonShed, call.OutcomeNotRun, n.levelRule(out.op)))
 		return
 	}
 	watch, stop := n.watch.Add(ctx.Conn())
 	defer stop()
 	out.cancelled = watch
-	r := n.carry(out)
+	r := n.forward(out)
 	if _, ok := r.(refused); ok {
-		good = out.attempts == 0
+		gotAnswer = out.attemptCount == 0
 	}
-	n.finishCaller(ctx, out, r)
+	n.finishRequest(ctx, out, r)
 }
 
 func (n *Node) levelRule(op inventory.Operation) string {
 	return "class " + op.ClassLine.String() + "; level learned from the answers of " + op.Service
 }
 
-// finishCaller learns from the end of a call and answers the caller.
-func (n *Node) finishCaller(ctx *fasthttp.RequestCtx, out *outbound, r reply) {
-	n.pressures.learn(n.clock.Now(), out.op.Name, out.level)
+// finishRequest records the admission level that the call brought back and answers the caller.
+func (n *Node) finishRequest(ctx *fasthttp.RequestCtx, out *outbound, r reply) {
+	n.entryAdmission.learnLevel(n.clock.Now(), out.op.Name, out.level)
 	n.writeReply(ctx, out, r)
 }
 
-// writeReply passes the end of a call on to a caller or to a backend server.
+// writeReply writes the reply of an outbound call to a caller or to the own backend server.
 func (n *Node) writeReply(ctx *fasthttp.RequestCtx, out *outbound, r reply) {
 	switch r := r.(type) {
 	case answered:
@@ -195,18 +197,18 @@
 		copyResponseHeaders(&ctx.Response.Header, &r.resp.Header)
 		ctx.SetStatusCode(r.resp.StatusCode())
 		ctx.Response.Header.Set(headerOutcome, call.OutcomeRan.String())
-		n.passBody(ctx, r.resp)
-	case kept:
+		n.writeResponseBody(ctx, r.resp)
+	case storedAnswer:
 		n.recordAnswer(out, r.answer.Status)
-		n.writeKept(ctx, r.answer)
+		n.writeStoredAnswer(ctx, r.answer)
 	case refused:
 		n.refuseCaller(ctx, &out.op, r.refusal)
 	}
 }
 
-// passBody passes a response body on, as a stream when it is large.
-func (n *Node) passBody(ctx *fasthttp.RequestCtx, resp *fasthttp.Response) {
-	b, whole, err := takeBody(resp)
+// writeResponseBody copies a response body to the caller, as a stream when it is large.
+func (n *Node) writeResponseBody(ctx *fasthttp.RequestCtx, resp *fasthttp.Response) {
+	b, whole, err := readResponseBody(resp)
 	switch {
 	case err != nil:
 		fasthttp.ReleaseResponse(resp)
@@ -216,15 +218,15 @@
 		ctx.Response.SetBody(b)
 		fasthttp.ReleaseResponse(resp)
 	default:
-		n.outside.Add(1)
-		ctx.Response.SetBodyStream(&closingStream{Reader: resp.BodyStream(), done: func() {
+		n.entryCount.Add(1)
+		ctx.Response.SetBodyStream(&closingStream{Reader: resp.BodyStream(), onClose: func() {
 			discard(answered{resp: resp})
-			n.outside.Add(-1)
+			n.entryCount.Add(-1)
 		}}, resp.Header.ContentLength())
 	}
 }
 
-// refuseCaller answers with a refusal and counts it.
+// refuseCaller writes a refusal and counts it.
 func (n *Node) refuseCaller(ctx *fasthttp.RequestCtx, op *inventory.Operation, r call.Refusal) {
 	name := "none"
 	if op != nil {
@@ -238,7 +240,7 @@
 	writeRefusal(ctx, r)
 }
 
-// writeNodes lists live nodes of the own region for callers.
+// writeNodes lists serving nodes of the own region, so that callers can choose among them.
 func (n *Node) writeNodes(ctx *fasthttp.RequestCtx) {
 	region := n.region()
 	cfg := n.config.Load()
@@ -247,7 +249,7 @@
 		if m.State != membership.StateServing || m.Suspected || cfg == nil {
 			continue
 		}
-		if r, _ := cfg.Region(m.AvailabilityZone); r == region && len(nodes) < listedNodes {
+		if r, _ := cfg.Region(m.AvailabilityZone); r == region && len(nodes) < maxListedNodes {
 			nodes = append(nodes, m.Callers)
 		}
 	}
--- a/node/carry.go
+++ b/node/carry.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// shortestSilence is the least time without an answer after which the serving node is asked about an attempt.
-	shortestSilence = 50 * time.Millisecond
-	// usualFactor times the usual slow answer is the time without an answer after which the serving node is asked.
-	usualFactor = 3
-	// answerMargin is the time beyond the deadline that a refusal needs to travel back.
+	// minSilence is the least time without an answer after which the serving node is queried about an attempt.
+	minSilence = 50 * time.Millisecond
+	// silenceFactor times the hedge delay is the time without an answer after which the serving node is queried.
+	silenceFactor = 3
+	// answerMargin is the time after the deadline that a refusal needs to travel back.
 	answerMargin = 20 * time.Millisecond
 )
 
-// outbound is a call that this node carries to another service.
+// outbound is a call that this node forwards to another service.
 type outbound struct {
 	op        inventory.Operation
 	requestID string
 	priority  call.Priority
 	arrived   time.Time
 	deadline  time.Time
-	account   *account
+	budget    *retryBudget
 	depth     uint8
 	crashes   int
 	digest    uint64
@@ -38,35 +38,35 @@
 	target    string
 	header    *fasthttp.RequestHeader
 	body      body
-	// cancelled is closed when the caller gives up; nil means that the call is carried to its end.
+	// cancelled is closed when the caller gives up. If it is nil, the call runs to its end.
 	cancelled <-chan struct{}
 
-	// What the attempts brought back.
-	level    call.Priority
-	attempts int
+	// Results of the attempts.
+	level        call.Priority
+	attemptCount int
 }
 
-// reply is the end of a carried call: answered, kept or refused.
+// reply is the result of an outbound call: answered, storedAnswer or refused.
 type reply interface{ reply() }
 
-// answered is an answer of a backend server, with the response still to be passed on.
+// answered is an answer of a backend server whose response body has not been forwarded yet.
 type answered struct {
 	resp *fasthttp.Response
 	meta call.AnswerMeta
 }
 
-// kept is an answer that the serving node had kept because the connection it belonged to went silent.
-type kept struct{ answer ticket.Answer }
+// storedAnswer is an answer that the serving node kept and that was queried because its connection went silent.
+type storedAnswer struct{ answer ticket.Answer }
 
-// refused is a call without an answer.
+// refused is the result of a call without an answer.
 type refused struct{ refusal call.Refusal }
 
-func (answered) reply() {}
-func (kept) reply()     {}
-func (refused) reply()  {}
+func (answered) reply()     {}
+func (storedAnswer) reply() {}
+func (refused) reply()      {}
 
-// carry sends a call to a backend server of its service and tries others within the request's retry account.
-func (n *Node) carry(out *outbound) reply {
+// forward sends a call to a backend server of its service and retries at others within the request's retry budget.
+func (n *Node) forward(out *outbound) reply {
 	out.level = call.LeastImportant
 	if out.depth > call.MaxDepth {
 		return refused{refusal(call.ReasonTooDeep, call.OutcomeNotRun, out.op.Line.String())}
@@ -76,47 +76,49 @@
 		n.log.Error("no-chooser", "error", err)
 		return refused{refusal(call.ReasonNoBackendServer, call.OutcomeNotRun, "settings")}
 	}
-	c.called()
+	c.countCall()
 	excluded := kernel.Set[string](nil)
 	var last reply
 	for {
-		t, stop := n.startTry(out, c, excluded)
+		h, stop := n.startAttempt(out, c, excluded)
 		if stop != nil {
-			return worse(last, stop)
+			return selectReply(last, stop)
 		}
-		result := t.wait()
-		n.metrics.Add("attempts", int64(t.launched), out.op.Service)
+		result := h.wait()
+		n.metrics.Add("attempts", int64(h.launchCount), out.op.Service)
 		r, ok := result.(refused)
 		if !ok {
 			return result
 		}
-		last = worse(last, result)
-		if !n.mayRetry(out, r.refusal) {
+		last = selectReply(last, result)
+		if !n.takeRetry(out, r.refusal) {
 			return last
 		}
 		if r.refusal.Reason != call.ReasonFenced {
-			// After a silent connection the backend server itself is as good as before.
-			excluded = t.excluded
+			// After a silent connection the backend server itself stays eligible.
+			excluded = h.excluded
 		}
 		n.metrics.Add("retries", 1, out.op.Service)
 	}
 }
 
-// worse returns the refusal that says less about "not run": an earlier attempt that may have run must not be hidden.
-func worse(last, now reply) reply {
+// selectReply returns the reply to report when several attempts failed. A refusal of an attempt that may have run takes
+// precedence, so that a later "not run" does not hide it. An earlier refusal takes precedence over the lack of a further
+// backend server.
+func selectReply(last, current reply) reply {
 	if last, ok := last.(refused); ok && last.refusal.Outcome != call.OutcomeNotRun {
 		return last
 	}
 	if last, ok := last.(refused); ok {
-		if now, ok := now.(refused); ok && now.refusal.Reason == call.ReasonNoBackendServer {
+		if current, ok := current.(refused); ok && current.refusal.Reason == call.ReasonNoBackendServer {
 			return last
 		}
 	}
-	return now
+	return current
 }
 
-// mayRetry takes a retry from the account when another attempt is allowed and worthwhile.
-func (n *Node) mayRetry(out *outbound, r call.Refusal) bool {
+// takeRetry spends a retry from the budget if another attempt is allowed and can succeed.
+func (n *Node) takeRetry(out *outbound, r call.Refusal) bool {
 	if _, ok := out.body.(streamed); ok && r.Reason != call.ReasonNoBackendServer {
 		return false
 	}
@@ -128,22 +130,22 @@
 		call.ReasonBodyTooLarge, call.ReasonRetriesSpent, call.ReasonUnknownService:
 		return false
 	}
-	if n.poison.refuses(n.clock.Now(), out.digest, out.crashes) {
+	if n.quarantined.refuses(n.clock.Now(), out.digest, out.crashes) {
 		return false
 	}
-	return out.account.take()
+	return out.budget.take()
 }
 
-// attemptResult is what became of one attempt.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
-	try   *launched
-	reply reply
-	// end is what the chooser is told.
-	end balance.Result
+	attempt *sentAttempt
+	reply   reply
+	// feedback is the result as reported to the chooser.
+	feedback balance.Result
 }
 
-// launched is one attempt on its way.
-type launched struct {
+// sentAttempt is an attempt that was sent to a serving node.
+type sentAttempt struct {
 	id      string
 	attempt call.Attempt
 	peer    *peer
@@ -152,76 +154,76 @@
 	share   int
 	started time.Time
 	settled bool
-	// misses counts how often the serving node did not know the attempt.
+	// misses counts the queries to which the serving node answered that it does not know the attempt.
 	misses int
 }
 
-// try is one attempt with its hedge.
-type try struct {
-	n        *Node
-	out      *outbound
-	chooser  *chooser
-	results  chan attemptResult
-	states   chan stateAnswer
-	attempts []*launched
-	excluded kernel.Set[string]
-	launched int
-	pending  int
-	last     reply
-	race     *race
+// hedgedAttempt is an attempt together with its hedged second attempt.
+type hedgedAttempt struct {
+	n           *Node
+	out         *outbound
+	chooser     *chooser
+	results     chan attemptResult
+	states      chan stateResult
+	attempts    []*sentAttempt
+	excluded    kernel.Set[string]
+	launchCount int
+	pending     int
+	last        reply
+	race        *race
 }
 
-// startTry chooses a backend server and launches an attempt, or returns the refusal that ends the call.
-func (n *Node) startTry(out *outbound, c *chooser, excluded kernel.Set[string]) (*try, reply) {
+// startAttempt chooses a backend server and sends it an attempt, or returns the refusal that ends the call.
+func (n *Node) startAttempt(out *outbound, c *chooser, excluded kernel.Set[string]) (*hedgedAttempt, reply) {
 	if !out.deadline.After(n.clock.Now()) {
 		return nil, refused{refusal(call.ReasonDeadline, call.OutcomeNotRun, out.op.TimeoutLine.String())}
 	}
-	t := &try{n: n, out: out, chooser: c, results: make(chan attemptResult, 2), states: make(chan stateAnswer, 2),
+	h := &hedgedAttempt{n: n, out: out, chooser: c, results: make(chan attemptResult, 2), states: make(chan stateResult, 2),
 		excluded: excluded, race: &race{}}
-	if reason := t.launch(); reason != call.ReasonNone {
+	if reason := h.launch(); reason != call.ReasonNone {
 		return nil, refused{refusal(reason, call.OutcomeNotRun, out.op.ClassLine.String())}
 	}
-	return t, nil
+	return h, nil
 }
 
 // launch sends the call to one more backend server.
-func (t *try) launch() call.Reason {
-	n, now := t.n, t.n.clock.Now()
-	choice, token := t.chooser.choose(now, balance.Query{Priority: t.out.priority, Exclude: t.excluded})
+func (h *hedgedAttempt) launch() call.Reason {
+	n, now := h.n, h.n.clock.Now()
+	choice, token := h.chooser.choose(now, balance.Query{Priority: h.out.priority, Exclude: h.excluded})
 	chosen, ok := choice.(balance.Chosen)
 	if !ok {
-		return t.noChoice(choice.(balance.None))
+		return h.handleNoCandidate(choice.(balance.None))
 	}
 	address, ok := n.callsAddress(chosen.ID)
 	if !ok {
-		t.chooser.finished(now, chosen.ID, token, balance.Result{DialFailed: true})
+		h.chooser.recordResult(now, chosen.ID, token, balance.Result{DialFailed: true})
 		return call.ReasonNoBackendServer
 	}
 	p := n.peer(chosen.ID, address)
-	l := &launched{id: chosen.ID, attempt: n.nextAttempt(chosen.ID), peer: p, client: p.current(), token: token, started: now,
-		share: t.out.account.share()}
+	a := &sentAttempt{id: chosen.ID, attempt: n.nextAttempt(chosen.ID), peer: p, client: p.current(), token: token, started: now,
+		share: h.out.budget.allocate()}
 	if chosen.CrossRegion {
-		n.metrics.Add("cross-region-bytes", int64(t.out.body.size()), t.out.op.Service)
+		n.metrics.Add("cross-region-bytes", int64(h.out.body.size()), h.out.op.Service)
 	}
-	req := n.buildRequest(t.out, l)
-	if !n.pool.Submit(func() { n.send(t, l, req) }) {
-		t.out.account.giveBack(l.share, l.share)
-		t.chooser.finished(now, chosen.ID, token, balance.Result{Outcome: call.OutcomeNotRun, Reason: call.ReasonBusy})
+	req := n.buildRequest(h.out, a)
+	if !n.pool.Submit(func() { n.sendAttempt(h, a, req) }) {
+		h.out.budget.returnUnused(a.share, a.share)
+		h.chooser.recordResult(now, chosen.ID, token, balance.Result{Outcome: call.OutcomeNotRun, Reason: call.ReasonBusy})
 		return call.ReasonBusy
 	}
-	t.attempts = append(t.attempts, l)
-	t.excluded = t.excluded.With(chosen.ID)
-	t.launched++
-	t.out.attempts++
-	t.pending++
+	h.attempts = append(h.attempts, a)
+	h.excluded = h.excluded.With(chosen.ID)
+	h.launchCount++
+	h.out.attemptCount++
+	h.pending++
 	return call.ReasonNone
 }
 
-// noChoice passes the level by which backend servers refuse the priority on to where the request entered, as if one of
-// them had been asked.
-func (t *try) noChoice(none balance.None) call.Reason {
+// handleNoCandidate records the admission level by which the backend servers would refuse this priority, so that it reaches
+// the entry node as if one of them had answered.
+func (h *hedgedAttempt) handleNoCandidate(none balance.None) call.Reason {
 	if none.Reason == call.ReasonShed {
-		t.out.level = call.MoreImportant(t.out.level, none.Level)
+		h.out.level = call.MoreImportant(h.out.level, none.Level)
 	}
 	return none.Reason
 }
@@ -234,62 +236,62 @@
 	return m.Calls, ok
 }
 
-func (n *Node) buildRequest(out *outbound, l *launched) *fasthttp.Request {
+func (n *Node) buildRequest(out *outbound, a *sentAttempt) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
 	copyRequestHeaders(&req.Header, out.header)
 	req.Header.SetMethod(out.method)
-	req.SetRequestURI("http://" + l.peer.address + "/" + out.op.Service + out.target)
-	req.Header.Set(headerCall, n.meta(out, l).Encode())
+	req.SetRequestURI("http://" + a.peer.address + "/" + out.op.Service + out.target)
+	req.Header.Set(headerCall, n.callMeta(out, a).Encode())
 	setBody(req, out.body)
 	return req
 }
 
-func (n *Node) meta(out *outbound, l *launched) call.Meta {
+func (n *Node) callMeta(out *outbound, a *sentAttempt) call.Meta {
 	return call.Meta{
-		RequestID: out.requestID, Attempt: l.attempt, Operation: out.op.Name, Priority: out.priority,
-		RemainingMS: uint32(max(out.deadline.Sub(l.started).Milliseconds(), 1)), Allowance: uint8(l.share),
+		RequestID: out.requestID, Attempt: a.attempt, Operation: out.op.Name, Priority: out.priority,
+		RemainingMS: uint32(max(out.deadline.Sub(a.started).Milliseconds(), 1)), Allowance: uint8(a.share),
 		Depth: out.depth, Crashes: uint8(out.crashes), NonIdempotent: out.op.NonIdempotent, Digest: out.digest,
 		Region: n.region(), Caller: out.caller, Rule: out.op.ClassLine.String(),
 	}
 }
 
-// send runs on a worker: it makes the request and reports what became of it.
-func (n *Node) send(t *try, l *launched, req *fasthttp.Request) {
+// sendAttempt makes the HTTP request of an attempt on a worker and delivers its result.
+func (n *Node) sendAttempt(h *hedgedAttempt, a *sentAttempt, req *fasthttp.Request) {
 	resp := fasthttp.AcquireResponse()
-	err := l.client.DoDeadline(req, resp, t.out.deadline.Add(answerMargin))
+	err := a.client.DoDeadline(req, resp, h.out.deadline.Add(answerMargin))
 	fasthttp.ReleaseRequest(req)
-	result := n.judge(t.out, l, resp, err)
-	t.chooser.finished(n.clock.Now(), l.id, l.token, result.end)
-	if !t.race.finish(t, result) {
+	result := n.classifyResult(h.out, a, resp, err)
+	h.chooser.recordResult(n.clock.Now(), a.id, a.token, result.feedback)
+	if !h.race.deliver(h, result) {
 		discard(result.reply)
 	}
 }
 
-// judge turns the end of an HTTP exchange into a reply and into what the chooser learns.
-func (n *Node) judge(out *outbound, l *launched, resp *fasthttp.Response, err error) attemptResult {
-	end := balance.Result{Latency: n.clock.Now().Sub(l.started)}
+// classifyResult turns the result of an HTTP exchange into a reply and the feedback for the chooser.
+func (n *Node) classifyResult(out *outbound, a *sentAttempt, resp *fasthttp.Response, err error) attemptResult {
+	fb := balance.Result{Latency: n.clock.Now().Sub(a.started)}
 	if err != nil {
 		fasthttp.ReleaseResponse(resp)
-		end.DialFailed = errors.Is(err, errDial)
-		return attemptResult{l, refused{lostRefusal(err)}, end}
+		fb.DialFailed = errors.Is(err, errDial)
+		return attemptResult{a, refused{transportRefusal(err)}, fb}
 	}
 	meta, err := call.DecodeAnswerMeta(resp.Header.Peek(headerAnswer))
 	if err != nil {
 		n.metrics.Add("malformed-answers", 1)
 		discard(answered{resp: resp})
-		return attemptResult{l, refused{refusal(call.ReasonBackendFailed, call.OutcomeUnknown, "")}, end}
+		return attemptResult{a, refused{refusal(call.ReasonBackendFailed, call.OutcomeUnknown, "")}, fb}
 	}
-	end.Answered, end.Outcome, end.Reason, end.Load, end.Level = true, meta.Outcome, meta.Reason, meta.Load, meta.OwnLevel
+	fb.Answered, fb.Outcome, fb.Reason, fb.Load, fb.Level = true, meta.Outcome, meta.Reason, meta.Load, meta.OwnLevel
 	if meta.Reason == call.ReasonNone {
-		return attemptResult{l, answered{resp, meta}, end}
+		return attemptResult{a, answered{resp, meta}, fb}
 	}
 	discard(answered{resp: resp})
 	r := refusal(meta.Reason, meta.Outcome, meta.Rule)
-	return attemptResult{l, refusedWith{refused{r}, meta}, end}
+	return attemptResult{a, remoteRefusal{refused{r}, meta}, fb}
 }
 
-// lostRefusal is the refusal for an attempt without an answer.
-func lostRefusal(err error) call.Refusal {
+// transportRefusal returns the refusal for an attempt that failed without an answer.
+func transportRefusal(err error) call.Refusal {
 	switch {
 	case errors.Is(err, errDial):
 		return refusal(call.ReasonNoBackendServer, call.OutcomeNotRun, "")
@@ -300,13 +302,13 @@
 	}
 }
 
-// refusedWith is a refusal that came from a serving node, with what it reported.
-type refusedWith struct {
+// remoteRefusal is a refusal by a serving node, with the metadata of its answer.
+type remoteRefusal struct {
 	refused
 	meta call.AnswerMeta
 }
 
-// discard frees the response of an answer that nobody takes.
+// discard releases the response of an unused answer.
 func discard(r reply) {
 	if a, ok := r.(answered); ok && a.resp != nil {
 		_ = a.resp.CloseBodyStream()
--- a/node/chooser.go
+++ b/node/chooser.go
@@ -9,40 +9,40 @@
 	"lovagelane/retry"
 )
 
-// chooser makes the choice among one service's backend servers safe for concurrent use.
+// chooser guards the load balancer of one service for concurrent use.
 type chooser struct {
-	mu     sync.Mutex
-	choice *balance.Chooser
-	hedges retry.Hedges
-	token  uint64
+	mu       sync.Mutex
+	balancer *balance.Chooser
+	hedges   retry.Hedges
+	token    uint64
 }
 
 func (c *chooser) choose(now time.Time, q balance.Query) (balance.Choice, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	choice := c.choice.Choose(now, q)
+	choice := c.balancer.Choose(now, q)
 	chosen, ok := choice.(balance.Chosen)
 	if !ok {
 		return choice, 0
 	}
 	c.token++
-	c.choice.Started(now, chosen.ID, c.token)
+	c.balancer.Started(now, chosen.ID, c.token)
 	return choice, c.token
 }
 
-func (c *chooser) finished(now time.Time, id string, token uint64, r balance.Result) {
+func (c *chooser) recordResult(now time.Time, id string, token uint64, r balance.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.choice.Finished(now, id, token, r)
+	c.balancer.Finished(now, id, token, r)
 }
 
 func (c *chooser) hedgeDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.choice.HedgeDelay()
+	return c.balancer.HedgeDelay()
 }
 
-func (c *chooser) called() {
+func (c *chooser) countCall() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hedges.Called()
@@ -67,59 +67,59 @@
 	defer t.mu.Unlock()
 	if t.home != home {
 		t.home = home
-		// The tiers of all candidates change with the home; what was learned of them is learned again.
+		// A new home changes the tier of every candidate, so the learned state of the candidates is discarded.
 		t.byService = nil
 	}
 }
 
-// get returns the chooser of a service and makes it on the first call.
+// get returns the chooser of a service and creates it on first use.
 func (t *choosers) get(n *Node, service string) (*chooser, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c, ok := t.byService[service]; ok {
 		return c, nil
 	}
-	choice, err := balance.New(balance.Config{Policy: t.policy, Home: t.home}, n.rand)
+	balancer, err := balance.New(balance.Config{Policy: t.policy, Home: t.home}, n.rand)
 	if err != nil {
 		return nil, err
 	}
 	if t.byService == nil {
 		t.byService = map[string]*chooser{}
 	}
-	c := &chooser{choice: choice}
+	c := &chooser{balancer: balancer}
 	t.byService[service] = c
-	c.choice.Update(n.clock.Now(), n.candidates(service, *n.members.Load()))
+	c.balancer.Update(n.clock.Now(), n.candidates(service, *n.members.Load()))
 	return c, nil
 }
 
-// update gives every chooser the candidates of a new view.
+// update passes the candidates of a new membership view to every chooser.
 func (t *choosers) update(n *Node, members map[string]membership.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for service, c := range t.byService {
 		candidates := n.candidates(service, members)
 		c.mu.Lock()
-		c.choice.Update(n.clock.Now(), candidates)
+		c.balancer.Update(n.clock.Now(), candidates)
 		c.mu.Unlock()
 	}
 }
 
-// avoided returns the backend servers that are avoided now, by service.
-func (t *choosers) avoided() map[string][]string {
+// ejected returns the backend servers that are currently ejected, by service.
+func (t *choosers) ejected() map[string][]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	avoided := map[string][]string{}
+	ejected := map[string][]string{}
 	for service, c := range t.byService {
 		c.mu.Lock()
-		if ids := c.choice.Avoided(); len(ids) > 0 {
-			avoided[service] = ids
+		if ids := c.balancer.Avoided(); len(ids) > 0 {
+			ejected[service] = ids
 		}
 		c.mu.Unlock()
 	}
-	return avoided
+	return ejected
 }
 
-// candidates lists the members that serve a service, with the own node.
+// candidates lists the members that serve a service, including the own node.
 func (n *Node) candidates(service string, members map[string]membership.Member) []balance.Candidate {
 	var list []balance.Candidate
 	for _, m := range members {
@@ -129,7 +129,7 @@
 	}
 	if n.self.Service == service && n.backend.isUp() && !n.draining.Load() {
 		self := n.self
-		// The own announcement is made before the configuration tells the slots.
+		// The own member is created before the configuration sets the slots.
 		self.Slots = n.backend.slots()
 		list = append(list, n.candidate(self))
 	}
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,6 +1,7 @@
-// Package node runs beside one backend server: it takes calls from callers, chooses backend servers for them, admits or
-// refuses calls to its own backend server, and carries the calls that this backend server makes to other services.
+// Package node implements the proxy beside one backend server. It accepts requests from callers, balances them over the
+// backend servers of their service, applies admission control to calls for its own backend server, and forwards the calls
+// that this backend server makes to other services.
 //
-// Locks are taken in this order and never held over I/O: flights, gate, choosers, peers, then the small tables (owner,
-// attempts, quarantine, levels, shares), each of which is taken alone.
+// Locks are acquired in this order and never held over I/O: flights, gate, choosers, peers, then the small tables
+// (ticketOwner, attemptTable, quarantineTable, entryAdmission), each of which is locked alone.
 package node
--- a/node/flight.go
+++ b/node/flight.go
@@ -9,59 +9,60 @@
 	"lovagelane/retry"
 )
 
-// account is a retry account that several calls of one request share.
-type account struct {
+// retryBudget is a retry budget that several calls of one request share.
+type retryBudget struct {
 	policy retry.Policy
 
 	mu      sync.Mutex
 	retries retry.Account
 }
 
-func newAccount(policy retry.Policy, a retry.Account) *account {
-	return &account{policy: policy, retries: a}
+func newRetryBudget(policy retry.Policy, account retry.Account) *retryBudget {
+	return &retryBudget{policy: policy, retries: account}
 }
 
-// outgoing returns the account for one call that the holder of a makes.
-func (a *account) outgoing() *account {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if out := a.policy.Outgoing(&a.retries); out != &a.retries {
-		return newAccount(a.policy, *out)
+// forCall returns the budget for one call that the holder of b makes.
+func (b *retryBudget) forCall() *retryBudget {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if out := b.policy.Outgoing(&b.retries); out != &b.retries {
+		return newRetryBudget(b.policy, *out)
 	}
-	return a
+	return b
 }
 
-func (a *account) take() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.retries.Take()
+func (b *retryBudget) take() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.retries.Take()
 }
 
-func (a *account) share() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.policy.Share(&a.retries)
+func (b *retryBudget) allocate() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.policy.Share(&b.retries)
 }
 
-func (a *account) giveBack(share, unused int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.policy.Return(&a.retries, share, unused)
+func (b *retryBudget) returnUnused(share, unused int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.policy.Return(&b.retries, share, unused)
 }
 
-func (a *account) left() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.retries.Left()
+func (b *retryBudget) remaining() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.retries.Left()
 }
 
-// flight is a call that is queued at or runs on the own backend server, and the parent of the calls that it makes.
+// flight is a call that is queued for or runs on the own backend server. It is the parent of the calls that the backend
+// server makes for it.
 type flight struct {
-	context  string
-	meta     call.Meta
-	deadline time.Time
-	account  *account
-	// cancelled is closed when the caller gave up or the deadline passed.
+	contextID string
+	meta      call.Meta
+	deadline  time.Time
+	budget    *retryBudget
+	// cancelled is closed when the caller gives up or the deadline passes.
 	cancelled chan struct{}
 
 	mu      sync.Mutex
@@ -72,8 +73,8 @@
 	inner   innerCalls
 }
 
-// cancel stops the flight and, through its channel, the calls below it. It reports whether the backend server runs it and
-// has to be told.
+// cancel stops the flight and, through its channel, the calls that it makes. It reports whether the backend server runs the
+// call and must be notified.
 func (f *flight) cancel() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,15 +86,15 @@
 	return f.running
 }
 
-// learn keeps the strictest level and the highest crash count met below this call.
-func (f *flight) learn(level call.Priority, crashes int) {
+// recordDownstream keeps the strictest admission level and the highest crash count of the calls that this call made.
+func (f *flight) recordDownstream(level call.Priority, crashes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.level = call.MoreImportant(f.level, level)
 	f.crashes = max(f.crashes, crashes)
 }
 
-func (f *flight) learned() (call.Priority, int) {
+func (f *flight) downstream() (call.Priority, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.level, f.crashes
@@ -105,28 +106,28 @@
 	f.running = true
 }
 
-// flights is the table of calls at the own backend server, by context and by attempt.
+// flights is the table of calls at the own backend server, by context ID and by attempt.
 type flights struct {
 	mu        sync.Mutex
-	next      uint64
+	lastID    uint64
 	byContext map[string]*flight
 	byAttempt map[call.Attempt]*flight
 }
 
-// add records a call and gives it a context that cannot be guessed from outside.
-func (t *flights) add(meta call.Meta, deadline time.Time, a *account, random uint64) *flight {
+// add records a call and assigns it a context ID that cannot be guessed from outside.
+func (t *flights) add(meta call.Meta, deadline time.Time, budget *retryBudget, random uint64) *flight {
 	f := &flight{
 		meta: meta, deadline: deadline, cancelled: make(chan struct{}), level: call.LeastImportant,
-		account: a, crashes: int(meta.Crashes),
+		budget: budget, crashes: int(meta.Crashes),
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.byContext == nil {
 		t.byContext, t.byAttempt = map[string]*flight{}, map[call.Attempt]*flight{}
 	}
-	t.next++
-	f.context = strconv.FormatUint(t.next, 36) + "-" + strconv.FormatUint(random, 36)
-	t.byContext[f.context] = f
+	t.lastID++
+	f.contextID = strconv.FormatUint(t.lastID, 36) + "-" + strconv.FormatUint(random, 36)
+	t.byContext[f.contextID] = f
 	t.byAttempt[meta.Attempt] = f
 	return f
 }
@@ -134,20 +135,20 @@
 func (t *flights) remove(f *flight) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.byContext, f.context)
+	delete(t.byContext, f.contextID)
 	if t.byAttempt[f.meta.Attempt] == f {
 		delete(t.byAttempt, f.meta.Attempt)
 	}
 }
 
-func (t *flights) withContext(context string) (*flight, bool) {
+func (t *flights) findByContext(context string) (*flight, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f, ok := t.byContext[context]
 	return f, ok
 }
 
-func (t *flights) withAttempt(a call.Attempt) (*flight, bool) {
+func (t *flights) findByAttempt(a call.Attempt) (*flight, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f, ok := t.byAttempt[a]
@@ -160,7 +161,7 @@
 	return len(t.byContext)
 }
 
-// runningDigests returns the digests of the calls that the backend server was running.
+// runningDigests returns the digests of the calls that run on the backend server.
 func (t *flights) runningDigests() []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/gate.go
+++ b/node/gate.go
@@ -8,14 +8,14 @@
 	"lovagelane/call"
 )
 
-const admissionTick = admission.TickInterval
+const admissionTickInterval = admission.TickInterval
 
-// gate makes the admission controller safe for concurrent use and wakes the calls that it queued.
+// gate guards the admission controller for concurrent use and wakes queued calls.
 type gate struct {
 	mu         sync.Mutex
 	controller *admission.Controller
 	waiting    map[uint64]chan call.Reason
-	next       uint64
+	lastID     uint64
 }
 
 func newGate(limiter string) (*gate, error) {
@@ -32,62 +32,63 @@
 	g.controller.SetSlots(slots)
 }
 
-// enter waits until the call may run and returns ReasonNone, or the reason why it may not. A call that entered must leave.
-func (g *gate) enter(clock func() time.Time, item admission.Item, cancelled <-chan struct{}) (uint64, call.Reason) {
+// acquire waits until the call may run and returns ReasonNone, or the reason why it may not. After ReasonNone the caller
+// must call release.
+func (g *gate) acquire(clock func() time.Time, item admission.Item, cancelled <-chan struct{}) (uint64, call.Reason) {
 	g.mu.Lock()
-	g.next++
-	item.ID = g.next
-	switch v := g.controller.Arrive(clock(), item).(type) {
+	g.lastID++
+	item.ID = g.lastID
+	switch verdict := g.controller.Arrive(clock(), item).(type) {
 	case admission.Start:
 		g.mu.Unlock()
 		return item.ID, call.ReasonNone
 	case admission.Refuse:
 		g.mu.Unlock()
-		return 0, v.Reason
+		return 0, verdict.Reason
 	}
-	settled := make(chan call.Reason, 1)
-	g.waiting[item.ID] = settled
+	decision := make(chan call.Reason, 1)
+	g.waiting[item.ID] = decision
 	g.mu.Unlock()
 
 	select {
-	case reason := <-settled:
+	case reason := <-decision:
 		return item.ID, reason
 	case <-cancelled:
-		return g.leaveQueue(clock(), item.ID, settled)
+		return g.abandon(clock(), item.ID, decision)
 	}
 }
 
-// leaveQueue takes a call whose caller gave up out of the queue, or ends it if it was started at the same moment.
-func (g *gate) leaveQueue(now time.Time, id uint64, settled <-chan call.Reason) (uint64, call.Reason) {
+// abandon removes a call whose caller gave up from the queue, or ends it if it was started at the same moment.
+func (g *gate) abandon(now time.Time, id uint64, decision <-chan call.Reason) (uint64, call.Reason) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case reason := <-settled:
+	case reason := <-decision:
 		if reason == call.ReasonNone {
-			g.settle(g.controller.Finish(now, id, admission.Sample{Failed: true}))
+			g.applyEvents(g.controller.Finish(now, id, admission.Sample{Failed: true}))
 		}
 	default:
 		delete(g.waiting, id)
-		g.settle(g.controller.Cancel(now, id))
+		g.applyEvents(g.controller.Cancel(now, id))
 	}
 	return 0, call.ReasonCancelled
 }
 
-// leave frees the slot of a call that entered.
-func (g *gate) leave(now time.Time, id uint64, s admission.Sample) {
+// release frees the slot of a call that was admitted.
+func (g *gate) release(now time.Time, id uint64, s admission.Sample) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.settle(g.controller.Finish(now, id, s))
+	g.applyEvents(g.controller.Finish(now, id, s))
 }
 
 func (g *gate) tick(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.settle(g.controller.Tick(now))
+	g.applyEvents(g.controller.Tick(now))
 }
 
-// settle wakes queued calls; the lock must be held.
-func (g *gate) settle(events []admission.Event) {
+// applyEvents wakes queued calls. The caller must hold the lock.
+func (g *gate) applyEvents(events []admission.Event) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case admission.Started:
@@ -99,21 +100,21 @@
 }
 
 func (g *gate) wake(id uint64, reason call.Reason) {
-	if settled, ok := g.waiting[id]; ok {
+	if decision, ok := g.waiting[id]; ok {
 		delete(g.waiting, id)
-		settled <- reason
+		decision <- reason
 	}
 }
 
-// report returns the admission level and the load for answers.
-func (g *gate) report() (call.Priority, call.Load) {
+// levelAndLoad returns the admission level and the load, which are reported with each answer.
+func (g *gate) levelAndLoad() (call.Priority, call.Load) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.controller.Level(), g.controller.Load()
 }
 
-// idle reports whether no call runs or waits and nothing is refused.
+// idle reports whether no call runs or waits and the admission level refuses none.
 func (g *gate) idle() bool {
-	level, load := g.report()
+	level, load := g.levelAndLoad()
 	return load.InFlight == 0 && load.Queued == 0 && level == call.LeastImportant
 }
--- a/node/header.go
+++ b/node/header.go
@@ -11,7 +11,7 @@
 	"lovagelane/call"
 )
 
-// Headers between callers, nodes and backend servers.
+// Header names between callers, nodes and backend servers.
 const (
 	headerCall      = "Lovagelane-Call"
 	headerAnswer    = "Lovagelane-Answer"
@@ -29,30 +29,30 @@
 
 const headerPrefix = "Lovagelane-"
 
-// copyRequestHeaders passes on the headers of a request but for those of one connection and those of lovagelane.
+// copyRequestHeaders copies the headers of a request, except hop-by-hop headers and those of lovagelane.
 func copyRequestHeaders(dst, src *fasthttp.RequestHeader) {
 	for key, value := range src.All() {
-		if name := string(key); passedOn(name) {
+		if name := string(key); isForwarded(name) {
 			dst.SetBytesKV(key, value)
 		}
 	}
 }
 
-// copyResponseHeaders passes on the headers of a response likewise.
+// copyResponseHeaders copies the headers of a response, with the same exceptions.
 func copyResponseHeaders(dst, src *fasthttp.ResponseHeader) {
 	for key, value := range src.All() {
-		if name := string(key); passedOn(name) {
+		if name := string(key); isForwarded(name) {
 			dst.AddBytesKV(key, value)
 		}
 	}
 }
 
-func passedOn(name string) bool {
+func isForwarded(name string) bool {
 	return !call.ConnectionHeader(name) && !strings.HasPrefix(name, headerPrefix)
 }
 
-// internalHeaders counts the headers of a request that only nodes may send.
-func internalHeaders(h *fasthttp.RequestHeader) int {
+// countInternalHeaders counts the headers of a request that only nodes may send.
+func countInternalHeaders(h *fasthttp.RequestHeader) int {
 	count := 0
 	for _, name := range []string{headerCall, headerContext, headerAnswer} {
 		if len(h.Peek(name)) > 0 {
@@ -62,7 +62,7 @@
 	return count
 }
 
-// splitPath returns the service and the path behind it.
+// splitPath splits a request URI into the service and the rest of the path.
 func splitPath(uri []byte) (service, rest string) {
 	path := bytes.TrimPrefix(uri, []byte("/"))
 	end := bytes.IndexAny(path, "/?")
@@ -76,8 +76,8 @@
 	return service, rest
 }
 
-// rulePath returns the decoded and normalized path behind the service, by which rules are matched, so that a different
-// spelling of a path cannot evade a rule. It reports false when the path leaves the service.
+// rulePath returns the decoded and normalized path after the service. Rules are matched with this path, so that another
+// encoding of a path cannot bypass a rule. It returns false when the path is outside the service.
 func rulePath(ctx *fasthttp.RequestCtx, service string) (string, bool) {
 	path, ok := strings.CutPrefix(string(ctx.Path()), "/"+service)
 	switch {
@@ -89,8 +89,8 @@
 	return path, path[0] == '/'
 }
 
-// statedDeadline returns the time that a caller allows, if it states one that is well formed.
-func statedDeadline(h *fasthttp.RequestHeader) (time.Duration, bool) {
+// requestedTimeout returns the timeout that a caller requests, and false when there is none or it is malformed.
+func requestedTimeout(h *fasthttp.RequestHeader) (time.Duration, bool) {
 	ms, err := strconv.ParseUint(string(h.Peek(headerDeadline)), 10, 31)
 	if err != nil || ms == 0 {
 		return 0, false
--- a/node/idle_test.go
+++ b/node/idle_test.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	idleSettle = time.Second
-	idleSpan   = 5 * time.Second
+	idleSettle      = time.Second
+	idleMeasurement = 5 * time.Second
 )
 
-// BenchmarkIdleNodes measures the processor time of nodes without calls and without control, which is that of the timers
-// and of the health check. The backend servers run in this process and are included.
+// BenchmarkIdleNodes measures the processor time of nodes without calls and without control, which is spent on timers and
+// health checks. The backend servers run in the same process and are included.
 func BenchmarkIdleNodes(b *testing.B) {
 	for _, nodes := range []int{0, 10, 20} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
-			w := newWorld(b, chainInventory, chainRules)
+			d := newDeployment(b, chainInventory, chainRules)
 			for range nodes {
-				w.station("payments", text("paid"))
+				d.startInstance("payments", text("paid"))
 			}
 			for b.Loop() {
 				time.Sleep(idleSettle)
 				before := processorTime(b)
-				time.Sleep(idleSpan)
-				b.ReportMetric(100*float64(processorTime(b)-before)/float64(idleSpan)/float64(max(nodes, 1)), "%core/node")
+				time.Sleep(idleMeasurement)
+				b.ReportMetric(100*float64(processorTime(b)-before)/float64(idleMeasurement)/float64(max(nodes, 1)), "%core/node")
 			}
 		})
 	}
--- a/node/inner.go
+++ b/node/inner.go
@@ -10,29 +10,29 @@
 	"lovagelane/ticket"
 )
 
-// innerCalls records the calls that a backend server made for one call, so that repeats are recognised.
+// innerCalls records the calls that a backend server makes for one parent call, to detect repeats.
 type innerCalls struct {
-	repeats retry.Inner
-	byKey   map[string]*innerCall
+	seen  retry.Inner
+	byKey map[string]*innerCall
 }
 
-// innerCall is a non-idempotent call that a backend server made; a repeat of it gets its answer.
+// innerCall is a non-idempotent call that a backend server made. A repeat of it gets the same answer.
 type innerCall struct {
 	done   chan struct{}
 	answer ticket.Answer
 	rule   string
 }
 
-// repeats records a call that the backend server makes and reports whether it made it before.
-func (f *flight) repeats(digest uint64) bool {
+// isRepeat records an idempotent call of the backend server and reports whether it counts as a retry.
+func (f *flight) isRepeat(digest uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.inner.repeats.Repeats(digest)
+	return f.inner.seen.Repeats(digest)
 }
 
-// claim returns the record of a non-idempotent call and whether the caller of claim is the one to make it. It returns nil
-// when the parent has made too many calls to tell repeats apart.
-func (f *flight) claim(key string) (*innerCall, bool) {
+// claimInner returns the record of a non-idempotent call, and true if it is new and must be made. It returns nil when the
+// parent already has retry.MaxInner different calls, so that repeats can no longer be detected.
+func (f *flight) claimInner(key string) (*innerCall, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c, ok := f.inner.byKey[key]; ok {
@@ -49,93 +49,94 @@
 	return c, true
 }
 
-// release lets a call that did not run be made again.
-func (f *flight) release(key string) {
+// releaseInner removes the record of a call that did not run, so that it can be made again.
+func (f *flight) releaseInner(key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.inner.byKey, key)
 }
 
-// handleBackend serves the backend listener: calls of the own backend server to other services.
+// handleBackend serves the backend listener, for calls of the own backend server to other services.
 func (n *Node) handleBackend(ctx *fasthttp.RequestCtx) {
 	parent := string(ctx.Request.Header.Peek(headerContext))
 	if parent == "" {
-		// Work that the backend server does on its own enters the deployment here, as a request of its own.
-		n.outside.Add(1)
-		defer n.outside.Add(-1)
-		n.enter(ctx, n.self.Service)
+		// A call without a context is work that the backend server does on its own. It enters the deployment here as a request
+		// of its own.
+		n.entryCount.Add(1)
+		defer n.entryCount.Add(-1)
+		n.handleEntry(ctx, n.self.Service)
 		return
 	}
-	f, ok := n.flights.withContext(parent)
+	f, ok := n.flights.findByContext(parent)
 	if !ok {
 		n.refuseCaller(ctx, nil, refusal(call.ReasonCancelled, call.OutcomeNotRun, ""))
 		return
 	}
-	n.enterInner(ctx, f)
+	n.handleInner(ctx, f)
 }
 
-// enterInner carries a call that a backend server makes for a call that it runs. Priority, deadline and retries are the
-// parent's.
-func (n *Node) enterInner(ctx *fasthttp.RequestCtx, f *flight) {
-	in, ok := n.read(ctx)
+// handleInner forwards a call that the backend server makes for a call that it runs. It inherits the parent's priority,
+// deadline and retry budget.
+func (n *Node) handleInner(ctx *fasthttp.RequestCtx, f *flight) {
+	in, ok := n.matchRequest(ctx)
 	if !ok {
 		return
 	}
 	op := in.op
-	out := n.innerOf(ctx, f, in)
+	out := n.newInner(ctx, f, in)
 	switch {
 	case op.NonIdempotent:
-		n.enterInnerOnce(ctx, f, out)
-	case f.repeats(out.digest) && !f.account.take():
+		n.handleInnerOnce(ctx, f, out)
+	case f.isRepeat(out.digest) && !f.budget.take():
 		n.refuseCaller(ctx, &op, refusal(call.ReasonRetriesSpent, call.OutcomeNotRun, op.Line.String()))
 	default:
-		n.writeReply(ctx, out, n.carryInner(f, out))
+		n.writeReply(ctx, out, n.forwardInner(f, out))
 	}
 }
 
-func (n *Node) innerOf(ctx *fasthttp.RequestCtx, f *flight, in incoming) *outbound {
+func (n *Node) newInner(ctx *fasthttp.RequestCtx, f *flight, in matchedRequest) *outbound {
 	op := in.op
 	deadline := n.clock.Now().Add(op.Timeout)
 	if f.deadline.Before(deadline) {
 		deadline = f.deadline
 	}
-	_, crashes := f.learned()
+	_, crashes := f.downstream()
 	out := &outbound{
-		op: op, arrived: n.clock.Now(), requestID: f.meta.RequestID, priority: f.meta.Priority, deadline: deadline, account: f.account.outgoing(),
+		op: op, arrived: n.clock.Now(), requestID: f.meta.RequestID, priority: f.meta.Priority, deadline: deadline, budget: f.budget.forCall(),
 		depth: f.meta.Depth + 1, crashes: crashes, caller: f.meta.Caller, method: string(ctx.Method()), target: in.target,
 		header: &ctx.Request.Header, body: in.body, cancelled: f.cancelled,
 	}
-	out.digest = digestOf(out)
+	out.digest = requestDigest(out)
 	return out
 }
 
-// carryInner carries an inner call and tells the parent what it learned.
-func (n *Node) carryInner(f *flight, out *outbound) reply {
-	r := n.carry(out)
-	f.learn(out.level, out.crashes)
+// forwardInner forwards an inner call and records its admission level and crash count in the parent.
+func (n *Node) forwardInner(f *flight, out *outbound) reply {
+	r := n.forward(out)
+	f.recordDownstream(out.level, out.crashes)
 	return r
 }
 
-// enterInnerOnce makes a non-idempotent inner call once for each key within its parent.
-func (n *Node) enterInnerOnce(ctx *fasthttp.RequestCtx, f *flight, out *outbound) {
+// handleInnerOnce makes a non-idempotent inner call at most once per idempotency key within its parent.
+func (n *Node) handleInnerOnce(ctx *fasthttp.RequestCtx, f *flight, out *outbound) {
 	key := string(ctx.Request.Header.Peek(headerKey))
 	if key == "" || len(key) > 128 {
 		key = call.DigestKey(out.digest)
 	}
 	key = out.op.Service + " " + key
-	c, mine := f.claim(key)
+	c, first := f.claimInner(key)
 	if c == nil {
 		n.refuseCaller(ctx, &out.op, refusal(call.ReasonBusy, call.OutcomeNotRun, out.op.Line.String()))
 		return
 	}
-	if !mine {
+	if !first {
 		n.joinInner(ctx, out, c)
 		return
 	}
-	r := n.carryInner(f, out)
-	c.answer = n.keep(&r)
+	r := n.forwardInner(f, out)
+	c.answer = n.storableAnswer(&r)
 	if c.answer.Outcome == call.OutcomeNotRun {
-		f.release(key)
+		f.releaseInner(key)
 	}
 	if refused, ok := r.(refused); ok {
 		c.rule = refused.refusal.Rule
@@ -144,13 +145,13 @@
 	n.writeReply(ctx, out, r)
 }
 
-// joinInner answers a repeat with the answer of the call that it repeats.
+// joinInner waits for the call that this one repeats and answers with its answer.
 func (n *Node) joinInner(ctx *fasthttp.RequestCtx, out *outbound, c *innerCall) {
 	timer := time.NewTimer(out.deadline.Sub(n.clock.Now()))
 	defer timer.Stop()
 	select {
 	case <-c.done:
-		n.writeAnswer(ctx, out, c.answer, c.rule)
+		n.writeOutcome(ctx, out, c.answer, c.rule)
 	case <-timer.C:
 		n.refuseCaller(ctx, &out.op, refusal(call.ReasonDeadline, call.OutcomeUnknown, out.op.TimeoutLine.String()))
 	}
--- a/node/input_test.go
+++ b/node/input_test.go
@@ -27,17 +27,17 @@
 	"lovagelane/settings"
 )
 
-// orders records what a backend server of the nursery ran.
-type orders struct {
+// orderCounter is a backend server that counts the orders and the other requests that it runs.
+type orderCounter struct {
 	mu     sync.Mutex
 	orders int
 	others int
 }
 
-func (o *orders) handler(ctx *fasthttp.RequestCtx, _ func(string, string, string) *fasthttp.Response) {
+func (o *orderCounter) handler(ctx *fasthttp.RequestCtx, _ func(string, string, string) *fasthttp.Response) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	// The path as any backend server would read it: decoded and resolved.
+	// The path as a backend server reads it, decoded and resolved.
 	if p, err := url.PathUnescape(string(ctx.URI().PathOriginal())); err == nil && ctx.IsPost() && path.Clean(p) == "/orders" {
 		o.orders++
 	} else {
@@ -46,17 +46,17 @@
 	ctx.SetBodyString("ok")
 }
 
-func (o *orders) count() (orders, others int) {
+func (o *orderCounter) count() (orders, others int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.orders, o.others
 }
 
-// raw sends bytes as they are, ends the sending side, and returns the first final response, or nil when there is none.
-func raw(conn net.Conn, text []byte) (*http.Response, []byte) {
+// sendRaw writes text unchanged, closes the sending side, and returns the first final response, or nil when there is none.
+func sendRaw(conn net.Conn, text []byte) (*http.Response, []byte) {
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	// A refusal may close the connection before everything is written; its response can still be read.
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
+	// A refusal may close the connection before everything is written. Its response can still be read.
 	_, _ = conn.Write(text)
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
@@ -80,11 +80,11 @@
 	return conn
 }
 
-// Guards against malformed input from outside that ends without a clear refusal, runs in part, or stops the node.
+// Guards against malformed requests from callers that get no clear refusal, run in part, or stop the node.
 func TestMalformedRequestsAreRefused(t *testing.T) {
-	w := newWorld(t, chainInventory, chainRules)
-	ran := &orders{}
-	s := w.station("nursery", ran.handler)
+	d := newDeployment(t, chainInventory, chainRules)
+	ran := &orderCounter{}
+	s := d.startInstance("nursery", ran.handler)
 	big := strings.Repeat("a", 20000)
 	const order = "POST /nursery/orders HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
 	const upload = "PUT /nursery/x HTTP/1.1\r\nHost: x\r\n"
@@ -128,7 +128,7 @@
 		"malformed method":         {"B@D /nursery/x HTTP/1.1\r\nHost: x\r\n\r\n", 400, "bad-request"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			resp, body := raw(dialRaw(t, s.Addresses().Callers), []byte(tc.request))
+			resp, body := sendRaw(dialRaw(t, s.Addresses().Callers), []byte(tc.request))
 			require.NotNil(t, resp, "no response")
 			require.Equal(t, tc.status, resp.StatusCode, "%s", body)
 			require.Equal(t, tc.reason, resp.Header.Get("Lovagelane-Reason"), "%s", body)
@@ -138,14 +138,14 @@
 	}
 	ordered, others := ran.count()
 	require.Zero(t, ordered+others)
-	w.eventually("nothing in flight", func() bool { return s.Status().InFlight == 0 })
-	require.Equal(t, 200, w.send(s.Addresses().Callers, "GET", "/nursery/x", "").StatusCode())
+	d.eventually("nothing in flight", func() bool { return s.Status().InFlight == 0 })
+	require.Equal(t, 200, d.send(s.Addresses().Callers, "GET", "/nursery/x", "").StatusCode())
 }
 
-// Guards against a claim of a caller that is out of range and then counts for more than none, or that is refused.
-func TestClaimsOutOfRangeAreIgnored(t *testing.T) {
-	w := newWorld(t, chainInventory, chainRules)
-	s := w.station("nursery", func(ctx *fasthttp.RequestCtx, _ func(string, string, string) *fasthttp.Response) {
+// Guards against a header value of a caller that is out of range and is refused, or has more effect than no header.
+func TestOutOfRangeHeadersAreIgnored(t *testing.T) {
+	d := newDeployment(t, chainInventory, chainRules)
+	s := d.startInstance("nursery", func(ctx *fasthttp.RequestCtx, _ func(string, string, string) *fasthttp.Response) {
 		ctx.SetBody(ctx.Request.Header.Peek("Lovagelane-Deadline-Ms"))
 	})
 	for i, header := range []string{
@@ -156,7 +156,7 @@
 		"Lovagelane-Answer: garbage",
 	} {
 		name, value, _ := strings.Cut(header, ": ")
-		r := w.send(s.Addresses().Callers, "GET", fmt.Sprintf("/nursery/%d", i), "", name, value)
+		r := d.send(s.Addresses().Callers, "GET", fmt.Sprintf("/nursery/%d", i), "", name, value)
 		require.Equal(t, 200, r.StatusCode(), "%s: %s", header, r.Body())
 		var left int
 		_, err := fmt.Sscan(string(r.Body()), &left)
@@ -166,10 +166,10 @@
 	}
 }
 
-// Guards against a caller that is told "not run" about a request that another node, with another ticket key, has run.
+// Guards against the outcome "not run" for a request that has run at another node with a different ticket key.
 func TestTicketUnderAnotherKeyIsUnknown(t *testing.T) {
-	first, second := newWorld(t, chainInventory, chainRules), newWorld(t, chainInventory, chainRules)
-	a, b := first.station("nursery", text("ordered")), second.station("nursery", text("ordered"))
+	first, second := newDeployment(t, chainInventory, chainRules), newDeployment(t, chainInventory, chainRules)
+	a, b := first.startInstance("nursery", text("ordered")), second.startInstance("nursery", text("ordered"))
 	token := string(first.send(a.Addresses().Callers, "POST", "/nursery/orders", "1").Header.Peek("Lovagelane-Ticket"))
 	r := second.send(b.Addresses().Callers, "POST", "/nursery/orders", "1", "Lovagelane-Ticket", token)
 	require.Equal(t, 400, r.StatusCode())
@@ -179,14 +179,14 @@
 	require.Zero(t, b.ran.Load())
 }
 
-// dialCalls connects to the calls listener with the key of a directory and a role, or with none.
+// dialCalls connects to the calls listener with the key for a role from dir, or without a key when dir is empty.
 func dialCalls(t testing.TB, address, dir string, role keys.Role) net.Conn {
 	config := &tls.Config{InsecureSkipVerify: true}
 	if dir != "" {
 		keyring, err := keys.Load(keys.PathsIn(dir, role))
 		require.NoError(t, err)
 		config = keyring.Client("http/1.1")
-		config.VerifyConnection = nil // The node is to refuse, not this client.
+		config.VerifyConnection = nil // The node must refuse the connection, not this client.
 	}
 	conn, err := tls.Dial("tcp", address, config)
 	require.NoError(t, err)
@@ -197,20 +197,20 @@
 	return "POST /nursery/orders HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nLovagelane-Call: " + header + "\r\n\r\n1"
 }
 
-func message(path string, body []byte) string {
+func post(path string, body []byte) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-func encoded(t testing.TB, v any) []byte {
+func toCBOR(t testing.TB, v any) []byte {
 	b, err := cbor.Marshal(v)
 	require.NoError(t, err)
 	return b
 }
 
-// Guards against a malformed call between nodes that runs, or that ends without a clear refusal.
+// Guards against a malformed call between nodes that runs, or that gets no clear refusal.
 func TestMalformedCallsAreRefused(t *testing.T) {
-	w := newWorld(t, chainInventory, chainRules)
-	s := w.station("nursery", text("ok"))
+	d := newDeployment(t, chainInventory, chainRules)
+	s := d.startInstance("nursery", text("ok"))
 	good := call.Meta{RequestID: "r", Attempt: call.Attempt{Sender: "a", Receiver: s.Status().Member.ID, Seq: 1 << 60}, RemainingMS: 5000}
 	other, long := good, good
 	other.Attempt.Receiver = "b"
@@ -227,20 +227,20 @@
 		"too long":          {callRequest(long.Encode()), "bad-request", 400},
 		"other incarnation": {callRequest(other.Encode()), "fenced", 503},
 		"other service":     {strings.Replace(callRequest(good.Encode()), "/nursery/", "/payments/", 1), "unknown-service", 404},
-		"unknown message":   {message("/lovagelane/nothing", nil), "", 404},
-		"operator's path":   {message("/lovagelane/drain", nil), "", 404},
-		"garbage question":  {message("/lovagelane/attempt", []byte("garbage")), "", 400},
-		"empty question":    {message("/lovagelane/attempt", nil), "", 400},
-		"wrong version of a question": {message("/lovagelane/attempt", encoded(t, map[int]any{1: 9, 2: map[int]any{1: "a", 2: "b", 3: 1}})),
+		"unknown message":   {post("/lovagelane/nothing", nil), "", 404},
+		"operator's path":   {post("/lovagelane/drain", nil), "", 404},
+		"garbage question":  {post("/lovagelane/attempt", []byte("garbage")), "", 400},
+		"empty question":    {post("/lovagelane/attempt", nil), "", 400},
+		"wrong version of a question": {post("/lovagelane/attempt", toCBOR(t, map[int]any{1: 9, 2: map[int]any{1: "a", 2: "b", 3: 1}})),
 			"", 400},
-		"cancel without attempt": {message("/lovagelane/cancel", encoded(t, map[int]any{1: 1})), "", 400},
-		"question oversized":     {message("/lovagelane/attempt", make([]byte, 70000)), "", 400},
-		"owned, no ticket":       {message("/lovagelane/owned/nursery/orders", nil), "ticket-required", 428},
-		"owned, forged":          {strings.Replace(message("/lovagelane/owned/nursery/orders", nil), "Host", "Lovagelane-Ticket: x\r\nHost", 1), "ticket-invalid", 400},
-		"owned, no service":      {message("/lovagelane/owned/", nil), "unknown-service", 404},
+		"cancel without attempt": {post("/lovagelane/cancel", toCBOR(t, map[int]any{1: 1})), "", 400},
+		"question oversized":     {post("/lovagelane/attempt", make([]byte, 70000)), "", 400},
+		"owned, no ticket":       {post("/lovagelane/owned/nursery/orders", nil), "ticket-required", 428},
+		"owned, forged":          {strings.Replace(post("/lovagelane/owned/nursery/orders", nil), "Host", "Lovagelane-Ticket: x\r\nHost", 1), "ticket-invalid", 400},
+		"owned, no service":      {post("/lovagelane/owned/", nil), "unknown-service", 404},
 	} {
 		t.Run(name, func(t *testing.T) {
-			resp, body := raw(dialCalls(t, s.Addresses().Calls, w.dir, keys.RoleNode), []byte(tc.request))
+			resp, body := sendRaw(dialCalls(t, s.Addresses().Calls, d.dir, keys.RoleNode), []byte(tc.request))
 			require.NotNil(t, resp, "no response")
 			require.Equal(t, tc.status, resp.StatusCode, "%s", body)
 			require.Equal(t, tc.reason, resp.Header.Get("Lovagelane-Reason"), "%s", body)
@@ -249,53 +249,53 @@
 	}
 	require.Zero(t, s.ran.Load())
 	require.Zero(t, s.Status().InFlight)
-	resp, body := raw(dialCalls(t, s.Addresses().Calls, w.dir, keys.RoleNode), []byte(callRequest(good.Encode())))
+	resp, body := sendRaw(dialCalls(t, s.Addresses().Calls, d.dir, keys.RoleNode), []byte(callRequest(good.Encode())))
 	require.NotNil(t, resp)
 	require.Equal(t, 200, resp.StatusCode, "%s", body)
 }
 
-// Guards against a peer without a node's key that gets a call through, or anything else than an operator's answers.
-func TestPeersWithoutANodesKeyAreRefused(t *testing.T) {
-	w, stranger := newWorld(t, chainInventory, chainRules), newWorld(t, chainInventory, chainRules)
-	s := w.station("nursery", text("ok"))
+// Guards against calls from peers without a node's key, and against peers with an operator's key that reach paths for nodes.
+func TestPeersWithoutNodeKeyAreRefused(t *testing.T) {
+	d, stranger := newDeployment(t, chainInventory, chainRules), newDeployment(t, chainInventory, chainRules)
+	s := d.startInstance("nursery", text("ok"))
 	good := call.Meta{RequestID: "r", Attempt: call.Attempt{Sender: "a", Receiver: s.Status().Member.ID, Seq: 1 << 60}, RemainingMS: 5000}
 	for name, dir := range map[string]string{"no key": "", "another authority": stranger.dir} {
-		resp, _ := raw(dialCalls(t, s.Addresses().Calls, dir, keys.RoleNode), []byte(callRequest(good.Encode())))
+		resp, _ := sendRaw(dialCalls(t, s.Addresses().Calls, dir, keys.RoleNode), []byte(callRequest(good.Encode())))
 		require.Nil(t, resp, name)
 	}
-	for _, request := range []string{callRequest(good.Encode()), message("/lovagelane/attempt", nil), message("/lovagelane/owned/nursery/x", nil)} {
-		resp, body := raw(dialCalls(t, s.Addresses().Calls, w.dir, keys.RoleOperator), []byte(request))
+	for _, request := range []string{callRequest(good.Encode()), post("/lovagelane/attempt", nil), post("/lovagelane/owned/nursery/x", nil)} {
+		resp, body := sendRaw(dialCalls(t, s.Addresses().Calls, d.dir, keys.RoleOperator), []byte(request))
 		require.NotNil(t, resp)
 		require.Equal(t, 404, resp.StatusCode)
 		require.Contains(t, string(body), "operator's key")
 	}
-	resp, body := raw(dialCalls(t, s.Addresses().Calls, w.dir, keys.RoleOperator), []byte("GET /lovagelane/drain HTTP/1.1\r\nHost: x\r\n\r\n"))
+	resp, body := sendRaw(dialCalls(t, s.Addresses().Calls, d.dir, keys.RoleOperator), []byte("GET /lovagelane/drain HTTP/1.1\r\nHost: x\r\n\r\n"))
 	require.NotNil(t, resp)
 	require.Equal(t, 405, resp.StatusCode)
 	require.Contains(t, string(body), "use POST")
-	require.Equal(t, 405, w.send(s.Addresses().Admin, "GET", "/drain", "").StatusCode())
+	require.Equal(t, 405, d.send(s.Addresses().Admin, "GET", "/drain", "").StatusCode())
 	require.Zero(t, s.ran.Load())
 	require.Equal(t, membership.StateServing, s.Status().Member.State)
 }
 
-// Guards against a node that starts with an operator's key, which other nodes refuse only when it is called.
-func TestNodeNeedsANodesKey(t *testing.T) {
-	w := newWorld(t, chainInventory, chainRules)
-	p := keys.PathsIn(w.dir, keys.RoleOperator)
-	_, err := node.Start(t.Context(), node.Options{StartControl: w.start, Settings: settings.Node{
+// Guards against a node that starts with an operator's key. Other nodes would refuse it only when it calls them.
+func TestNodeRequiresNodeKey(t *testing.T) {
+	d := newDeployment(t, chainInventory, chainRules)
+	p := keys.PathsIn(d.dir, keys.RoleOperator)
+	_, err := node.Start(t.Context(), node.Options{StartControl: d.start, Settings: settings.Node{
 		Service: "nursery", AvailabilityZone: "rn-1", BackendServer: "127.0.0.1:1", CallersListen: "127.0.0.1:0",
 		BackendListen: "127.0.0.1:0", CallsListen: "127.0.0.1:0", AdminListen: "127.0.0.1:0",
-		Certificate: p.Certificate, Key: p.Key, Authority: p.Authority, TicketKey: keys.TicketKeyIn(w.dir),
+		Certificate: p.Certificate, Key: p.Key, Authority: p.Authority, TicketKey: keys.TicketKeyIn(d.dir),
 	}})
 	require.ErrorContains(t, err, `is for the role "operator"`)
 }
 
-// FuzzCallersListener guards against bytes from outside that stop the node, get a response without an outcome, or start an
-// order without a ticket.
+// FuzzCallersListener guards against input from callers that stops the node, gets a response without an outcome, or starts
+// an order without a ticket.
 func FuzzCallersListener(f *testing.F) {
-	w := newWorld(f, chainInventory, chainRules)
-	ran := &orders{}
-	s := w.station("nursery", ran.handler)
+	d := newDeployment(f, chainInventory, chainRules)
+	ran := &orderCounter{}
+	s := d.startInstance("nursery", ran.handler)
 	for _, seed := range []string{
 		"GET /nursery/x HTTP/1.1\r\nHost: x\r\n\r\n",
 		"POST /nursery/orders HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1",
@@ -309,7 +309,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, request []byte) {
-		resp, _ := raw(dialRaw(t, s.Addresses().Callers), request)
+		resp, _ := sendRaw(dialRaw(t, s.Addresses().Callers), request)
 		if resp != nil {
 			require.NotEqual(t, 500, resp.StatusCode)
 			if resp.Header.Get("Lovagelane-Outcome") == "" {
@@ -321,18 +321,18 @@
 	})
 }
 
-// FuzzCallHeaders guards against a header or message between nodes that stops the node or runs without being valid.
+// FuzzCallHeaders guards against a header or message between nodes that stops the node, or that runs although it is invalid.
 func FuzzCallHeaders(f *testing.F) {
-	w := newWorld(f, chainInventory, chainRules)
-	s := w.station("nursery", text("ok"))
+	d := newDeployment(f, chainInventory, chainRules)
+	s := d.startInstance("nursery", text("ok"))
 	id := s.Status().Member.ID
-	keyring, err := keys.Load(keys.PathsIn(w.dir, keys.RoleNode))
+	keyring, err := keys.Load(keys.PathsIn(d.dir, keys.RoleNode))
 	require.NoError(f, err)
 	client := &fasthttp.HostClient{Addr: s.Addresses().Calls, Dial: func(address string) (net.Conn, error) {
 		return tls.Dial("tcp", address, keyring.Client("http/1.1"))
 	}}
 	f.Add([]byte(call.Meta{Attempt: call.Attempt{Sender: "a", Receiver: id}, RemainingMS: 1000}.Encode()), []byte{0xa0})
-	f.Add([]byte("oQEJ"), encoded(f, map[int]any{1: 1, 2: map[int]any{1: "a", 2: id, 3: 7}, 3: true}))
+	f.Add([]byte("oQEJ"), toCBOR(f, map[int]any{1: 1, 2: map[int]any{1: "a", 2: id, 3: 7}, 3: true}))
 	f.Add([]byte("%%%"), []byte("garbage"))
 	f.Fuzz(func(t *testing.T, header, body []byte) {
 		for _, path := range []string{"/nursery/orders", "/lovagelane/attempt", "/lovagelane/cancel"} {
@@ -341,7 +341,7 @@
 			req.SetRequestURI("http://" + s.Addresses().Calls + path)
 			req.Header.SetBytesV("Lovagelane-Call", header)
 			req.SetBody(body)
-			require.NoError(t, client.DoTimeout(req, resp, patience))
+			require.NoError(t, client.DoTimeout(req, resp, waitTimeout))
 			require.NotEqual(t, 500, resp.StatusCode())
 			if path == "/nursery/orders" && resp.StatusCode() == 200 {
 				meta, err := call.DecodeMeta(req.Header.Peek("Lovagelane-Call"))
@@ -352,21 +352,21 @@
 	})
 }
 
-// Guards against a metric or a call in flight that stays behind for each different malformed request.
-func TestBadInputLeavesNothingBehind(t *testing.T) {
-	w := newWorld(t, chainInventory, chainRules)
-	s := w.station("nursery", text("ok"))
+// Guards against unbounded growth of metric names, and calls that stay in flight, after many different malformed requests.
+func TestMalformedInputLeavesNoMetricsOrCalls(t *testing.T) {
+	d := newDeployment(t, chainInventory, chainRules)
+	s := d.startInstance("nursery", text("ok"))
 	names := func() int {
 		var vars struct{ Counters, Gauges, Durations map[string]any }
-		require.NoError(t, json.Unmarshal(w.send(s.Addresses().Admin, "GET", "/debug/vars", "").Body(), &vars))
+		require.NoError(t, json.Unmarshal(d.send(s.Addresses().Admin, "GET", "/debug/vars", "").Body(), &vars))
 		return len(vars.Counters) + len(vars.Gauges) + len(vars.Durations)
 	}
 	batch := func(from int) {
 		for i := from; i < from+300; i++ {
 			id := fmt.Sprint(i)
-			w.send(s.Addresses().Callers, "GET", "/service-"+id+"/x", "", "Lovagelane-Caller", "caller-"+id)
-			w.send(s.Addresses().Callers, "POST", "/nursery/orders", id, "Lovagelane-Ticket", "ticket-"+id, "Lovagelane-Request-Id", id)
-			w.send(s.Addresses().Callers, "GET", "/nursery/"+id+"/../../x", "")
+			d.send(s.Addresses().Callers, "GET", "/service-"+id+"/x", "", "Lovagelane-Caller", "caller-"+id)
+			d.send(s.Addresses().Callers, "POST", "/nursery/orders", id, "Lovagelane-Ticket", "ticket-"+id, "Lovagelane-Request-Id", id)
+			d.send(s.Addresses().Callers, "GET", "/nursery/"+id+"/../../x", "")
 		}
 	}
 	batch(0)
--- a/node/node.go
+++ b/node/node.go
@@ -28,41 +28,42 @@
 )
 
 const (
-	// bufferedBody is the size up to which a body is held in memory, so that the call can be retried.
-	bufferedBody = 64 << 10
-	// maxHeaders bounds the headers of a request, in bytes.
-	maxHeaders = 16 << 10
-	// idleConnection is how long a connection to another node may be idle before it is closed instead of reused.
-	idleConnection = 15 * time.Second
-	// serverIdle is longer than idleConnection so that a listener never closes a connection that a node is about to reuse.
-	serverIdle = 60 * time.Second
-	// slowBody is how long a caller may take to send a request.
-	slowBody = 30 * time.Second
-	// callerConnections, nodeConnections and adminConnections bound the connections of the listeners. Each one holds up
-	// to 80 KB of headers and body, so these keep slow senders from filling the memory of the instance.
-	callerConnections = 768
-	nodeConnections   = 2048
-	adminConnections  = 32
-	// disconnectTicks is the number of admission ticks after which the connections of waiting callers are checked.
+	// maxBufferedBody is the size up to which a body is buffered in memory, so that the call can be retried.
+	maxBufferedBody = 64 << 10
+	// maxHeaderBytes bounds the size of the headers of a request.
+	maxHeaderBytes = 16 << 10
+	// peerIdleTimeout is how long a connection to another node may be idle before it is closed instead of reused.
+	peerIdleTimeout = 15 * time.Second
+	// serverIdleTimeout is longer than peerIdleTimeout, so that a listener never closes a connection that a node is about to
+	// reuse.
+	serverIdleTimeout = 60 * time.Second
+	// requestReadTimeout is how long a caller may take to send a request.
+	requestReadTimeout = 30 * time.Second
+	// maxCallerConnections, maxNodeConnections and maxAdminConnections bound the connections per listener. Each connection
+	// takes up to 80 KB for headers and body, so these bounds keep slow senders from exhausting the memory of the instance.
+	maxCallerConnections = 768
+	maxNodeConnections   = 2048
+	maxAdminConnections  = 32
+	// disconnectTicks is the number of admission ticks between checks for disconnected callers.
 	disconnectTicks = 3
-	// idleTick is the period of the admission tick while no call runs or waits.
-	idleTick = 50 * time.Millisecond
-	// drainGrace is how long calls are still taken after the drain was announced, so that the announcement can spread.
-	drainGrace = time.Second
-	// healthInterval is the period of the health check of the own backend server.
+	// idleTickInterval is the admission tick interval while no call runs or waits.
+	idleTickInterval = 50 * time.Millisecond
+	// drainGracePeriod is how long calls are still accepted after a drain is announced, while the announcement spreads.
+	drainGracePeriod = time.Second
+	// healthInterval is the interval of the health check of the own backend server.
 	healthInterval = 500 * time.Millisecond
-	// workers bounds the attempts that run at once.
-	workers = 8192
-	// noLimiter names the baseline without a concurrency limit.
+	// maxWorkers bounds the attempts that run concurrently.
+	maxWorkers = 8192
+	// noLimiter is the name of the baseline without a concurrency limit.
 	noLimiter = "none"
-	// queuedTasks bounds the attempts that wait for a worker.
-	queuedTasks = 1024
+	// maxQueuedAttempts bounds the attempts that wait for a worker.
+	maxQueuedAttempts = 1024
 )
 
-// Err is the class of errors for a node that cannot start.
+// Err is the error class of this package.
 var Err = errs.Class("node")
 
-// Control is what a node needs of the control part; control.Control implements it.
+// Control is the part of the control plane that a node uses. It is implemented by control.Control.
 type Control interface {
 	Address() string
 	Members() []membership.Member
@@ -72,18 +73,18 @@
 	Stop() error
 }
 
-// Options are what a node is built from; the zero value of every field but Settings works.
+// Options configures a node. Every field but Settings may be zero.
 type Options struct {
 	Settings settings.Node
 	Clock    kernel.Clock
 	Log      *event.Log
-	// Seed makes the node's random choices repeatable; zero takes a random seed.
+	// Seed seeds the node's random choices. If it is zero, the seed is random.
 	Seed uint64
 	// StartControl replaces control.Start in tests.
 	StartControl func(ctx context.Context, o control.Options) (Control, error)
 }
 
-// Node is a running node.
+// Node is a running node, the proxy beside one backend server.
 type Node struct {
 	settings settings.Node
 	self     membership.Member
@@ -97,26 +98,27 @@
 	group    *kernel.Group
 	pool     *kernel.Pool
 	control  Control
-	// ticketKeys are the keys at the start; the first one also keeps callers from choosing their value.
+	// ticketKeys are the ticket keys at the start. The first one is also the secret of the priority values, so that callers
+	// cannot choose their value.
 	ticketKeys [][]byte
 
-	config     atomic.Pointer[inventory.Config]
-	members    atomic.Pointer[map[string]membership.Member]
-	draining   atomic.Bool
-	refusing   atomic.Bool
-	outside    atomic.Int64
-	attemptSeq *ticket.Sequence
-	flights    flights
-	gate       *gate
-	backend    *backend
-	choosers   choosers
-	peers      peers
-	requests   requests
-	owned      owned
-	attempts   attempts
-	poison     poison
-	pressures  pressures
-	watch      hangup.Watch
+	config         atomic.Pointer[inventory.Config]
+	members        atomic.Pointer[map[string]membership.Member]
+	draining       atomic.Bool
+	refusing       atomic.Bool
+	entryCount     atomic.Int64
+	attemptSeq     *ticket.Sequence
+	flights        flights
+	gate           *gate
+	backend        *backend
+	choosers       choosers
+	peers          peers
+	resends        resendTracker
+	ticketOwner    ticketOwner
+	attempts       attemptTable
+	quarantined    quarantineTable
+	entryAdmission entryAdmission
+	watch          hangup.Watch
 
 	servers   []*fasthttp.Server
 	addresses Addresses
@@ -124,7 +126,7 @@
 	drainOnce sync.Once
 }
 
-// Addresses are the addresses that a node listens on.
+// Addresses holds the addresses of a node's listeners.
 type Addresses struct {
 	Callers string `json:"callers"`
 	Backend string `json:"backend"`
@@ -133,7 +135,7 @@
 	Admin   string `json:"admin"`
 }
 
-// Start opens the node's listeners, joins the other nodes and serves until Stop.
+// Start opens the node's listeners, joins the other nodes and serves until Stop is called.
 func Start(ctx context.Context, o Options) (*Node, error) {
 	n, err := newNode(ctx, o)
 	if err != nil {
@@ -146,18 +148,18 @@
 	n.group.Go("first-health", func(ctx context.Context) error { n.checkHealth(ctx); return nil })
 	n.group.Go("admission", n.tickLoop)
 	n.group.Every("health", healthInterval, 0.2, n.rand, n.checkHealth)
-	n.group.Every("states", eventInterval, 0.2, n.rand, n.noteStates)
-	n.group.Every("upkeep", 10*time.Second, 0.2, n.rand, n.upkeep)
+	n.group.Every("states", burnEventInterval, 0.2, n.rand, n.recordProtectiveStates)
+	n.group.Every("upkeep", 10*time.Second, 0.2, n.rand, n.maintain)
 	n.log.Info("node-started", "member", n.self.ID, "service", n.self.Service, "availability-zone", n.self.AvailabilityZone,
 		"callers", n.addresses.Callers, "calls", n.addresses.Calls, "control", n.addresses.Control, "admin", n.addresses.Admin)
 	return n, nil
 }
 
-// tickLoop does the work of the shortest timer. The check for disconnected callers shares it, since most of the cost of an
-// idle node is waking up. While nothing runs or waits it wakes up less often; a call that arrives then is started at once,
-// and only its first window begins up to idleTick late.
+// tickLoop runs the admission tick, which has the shortest interval. The check for disconnected callers shares its timer,
+// since most of the cost of an idle node is waking up. While no call runs or waits, the tick is less frequent. A call that
+// arrives then still starts at once, and only its first window begins up to idleTickInterval late.
 func (n *Node) tickLoop(ctx context.Context) error {
-	timer := time.NewTimer(admissionTick)
+	timer := time.NewTimer(admissionTickInterval)
 	defer timer.Stop()
 	for ticks := 1; ; ticks++ {
 		select {
@@ -169,15 +171,15 @@
 		if ticks%disconnectTicks == 0 {
 			n.watch.Check()
 		}
-		timer.Reset(n.nextTick())
+		timer.Reset(n.nextTickInterval())
 	}
 }
 
-func (n *Node) nextTick() time.Duration {
+func (n *Node) nextTickInterval() time.Duration {
 	if n.gate.idle() && n.watch.Count() == 0 {
-		return idleTick
+		return idleTickInterval
 	}
-	return admissionTick
+	return admissionTickInterval
 }
 
 func newNode(ctx context.Context, o Options) (*Node, error) {
@@ -210,16 +212,16 @@
 	}
 	n.backend = newBackend(o.Settings.BackendServer)
 	n.choosers.policy = o.Settings.Policy
-	if err := n.requests.use(o.Settings.Retries); err != nil {
+	if err := n.resends.setPolicy(o.Settings.Retries); err != nil {
 		return nil, err
 	}
 	n.members.Store(&map[string]membership.Member{})
 	n.group = kernel.NewGroup(ctx)
-	n.pool = kernel.NewPool(workers, queuedTasks)
+	n.pool = kernel.NewPool(maxWorkers, maxQueuedAttempts)
 	return n, nil
 }
 
-// newID returns a random member id and a random seed.
+// newID returns a random member ID and a random seed.
 func newID() (string, uint64) {
 	var b [16]byte
 	_, _ = rand.Read(b[:]) // crypto/rand never returns an error.
@@ -230,7 +232,7 @@
 	return hex.EncodeToString(b[:]), seed
 }
 
-// listen opens the listeners, then starts control, which announces the addresses.
+// listen opens the listeners, then starts control, which announces their addresses.
 func (n *Node) listen(o Options) error {
 	callers, err := net.Listen("tcp", o.Settings.CallersListen)
 	if err != nil {
@@ -250,16 +252,16 @@
 	}
 	n.self.Calls, n.self.Callers = calls.Addr().String(), callers.Addr().String()
 	n.addresses = Addresses{Callers: n.self.Callers, Backend: back.Addr().String(), Calls: n.self.Calls, Admin: admin.Addr().String()}
-	n.owned.init(n.ticketKeys, n.self.ID, n.self.Calls, n.started)
+	n.ticketOwner.init(n.ticketKeys, n.self.ID, n.self.Calls, n.started)
 	n.attempts.init(n.self.ID)
 	n.burn = burn.NewRecorder(burn.Node{ID: n.self.ID, Address: n.self.Calls, AvailabilityZone: n.self.AvailabilityZone}, n.clock)
 	if err := n.startControl(o); err != nil {
 		return err
 	}
-	n.serve("callers", callers, n.handleCaller, callerConnections)
-	n.serve("backend", back, n.handleBackend, callerConnections)
-	n.serve("calls", n.secure(calls), n.handleCalls, nodeConnections)
-	n.serve("admin", admin, n.handleAdmin, adminConnections)
+	n.serve("callers", callers, n.handleCaller, maxCallerConnections)
+	n.serve("backend", back, n.handleBackend, maxCallerConnections)
+	n.serve("calls", n.withTLS(calls), n.handleCalls, maxNodeConnections)
+	n.serve("admin", admin, n.handleAdmin, maxAdminConnections)
 	return nil
 }
 
@@ -272,7 +274,7 @@
 		Self: n.self, Listen: o.Settings.ControlListen, Seeds: o.Settings.Seeds, Store: o.Settings.Store,
 		Keyring: n.keyring, Clock: n.clock, Rand: n.rand, Log: n.log, Metrics: n.metrics,
 		OnMembers: n.setMembers, OnConfig: n.setConfig,
-		OnCrash: func(r quarantine.Report) { n.poison.merge(n.clock.Now(), r) },
+		OnCrash: func(r quarantine.Report) { n.quarantined.merge(n.clock.Now(), r) },
 	})
 	if err != nil {
 		return err
@@ -285,8 +287,8 @@
 // serve runs an HTTP server on a listener until the node stops.
 func (n *Node) serve(name string, ln net.Listener, handler fasthttp.RequestHandler, connections int) {
 	s := &fasthttp.Server{
-		Handler: handler, Name: "lovagelane", StreamRequestBody: true, Concurrency: connections, MaxRequestBodySize: bufferedBody,
-		ReadBufferSize: maxHeaders, ReadTimeout: slowBody, IdleTimeout: serverIdle, NoDefaultDate: true,
+		Handler: handler, Name: "lovagelane", StreamRequestBody: true, Concurrency: connections, MaxRequestBodySize: maxBufferedBody,
+		ReadBufferSize: maxHeaderBytes, ReadTimeout: requestReadTimeout, IdleTimeout: serverIdleTimeout, NoDefaultDate: true,
 		NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true, Logger: quietLogger{},
 		ErrorHandler: n.refuseUnreadable,
 	}
@@ -294,15 +296,15 @@
 	n.group.Go(name, func(context.Context) error { return s.Serve(ln) })
 }
 
-// quietLogger drops the per-connection errors of fasthttp, which a caller could produce at will.
+// quietLogger discards the per-connection errors of fasthttp, which any caller could cause in any number.
 type quietLogger struct{}
 
 func (quietLogger) Printf(string, ...any) {}
 
-// Addresses returns the addresses that the node listens on.
+// Addresses returns the addresses of the node's listeners.
 func (n *Node) Addresses() Addresses { return n.addresses }
 
-// setConfig puts a configuration in force.
+// setConfig applies a configuration that is newer than the one in force.
 func (n *Node) setConfig(cfg *inventory.Config) {
 	if old := n.config.Load(); old != nil && old.Version() >= cfg.Version() {
 		return
@@ -323,7 +325,7 @@
 	}
 }
 
-// setMembers takes a new view of the other nodes.
+// setMembers applies a new membership view.
 func (n *Node) setMembers(list []membership.Member) {
 	members := make(map[string]membership.Member, len(list)+1)
 	for _, m := range list {
@@ -331,11 +333,11 @@
 	}
 	n.members.Store(&members)
 	n.choosers.update(n, members)
-	n.peers.keep(members)
+	n.peers.retain(members)
 	n.metrics.Set("members", int64(len(members)))
 }
 
-// region returns the region of the own availability zone, or an empty string before a configuration is in force.
+// region returns the region of the own availability zone, or an empty string while no configuration is in force.
 func (n *Node) region() string {
 	if cfg := n.config.Load(); cfg != nil {
 		region, _ := cfg.Region(n.self.AvailabilityZone)
@@ -344,7 +346,7 @@
 	return ""
 }
 
-func (n *Node) upkeep(context.Context) {
+func (n *Node) maintain(context.Context) {
 	if replaced, err := n.keyring.Reload(); err != nil {
 		n.log.Warn("key-not-reloaded", "error", err)
 	} else if replaced {
@@ -353,19 +355,19 @@
 	if current, err := keys.LoadTicketKeys(n.settings.TicketKey); err != nil {
 		n.log.Warn("ticket-key-not-reloaded", "error", err)
 	} else {
-		n.owned.issuer.SetKeys(current)
+		n.ticketOwner.issuer.SetKeys(current)
 	}
 	n.peers.closeIdle()
 }
 
-// Drain announces that the backend server leaves, refuses new calls after a grace period, and returns once no call is in
-// flight or ctx ends.
+// Drain announces that the backend server is draining, refuses new calls after a grace period, and returns once no call is
+// in flight or ctx is done.
 func (n *Node) Drain(ctx context.Context) error {
 	n.drainOnce.Do(func() {
 		n.draining.Store(true)
 		n.choosers.update(n, *n.members.Load())
 		n.control.SetState(membership.StateDraining)
-		n.log.Info("drain-started", "in-flight", n.flights.count(), "outside", n.outside.Load())
+		n.log.Info("drain-started", "in-flight", n.flights.count(), "outside", n.entryCount.Load())
 		n.group.Go("drain", n.finishDrain)
 	})
 	select {
@@ -373,12 +375,12 @@
 		return nil
 	case <-ctx.Done():
 		return Err.New("drain is not finished, %d calls are in flight: wait for them, or stop the node to cut them off",
-			n.flights.count()+int(n.outside.Load()))
+			n.flights.count()+int(n.entryCount.Load()))
 	}
 }
 
 func (n *Node) finishDrain(ctx context.Context) error {
-	grace := time.NewTimer(drainGrace)
+	grace := time.NewTimer(drainGracePeriod)
 	defer grace.Stop()
 	select {
 	case <-ctx.Done():
@@ -388,7 +390,7 @@
 	n.refusing.Store(true)
 	poll := time.NewTicker(20 * time.Millisecond)
 	defer poll.Stop()
-	for n.flights.count() > 0 || n.outside.Load() > 0 {
+	for n.flights.count() > 0 || n.entryCount.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return nil
@@ -400,7 +402,8 @@
 	return nil
 }
 
-// Stop closes the listeners at once, announces the end and waits; call Drain first to cut off no call.
+// Stop closes the listeners at once, announces that the node leaves, and waits for its goroutines. Calls in flight are cut
+// off unless Drain has returned before.
 func (n *Node) Stop() error {
 	err := n.control.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -416,10 +419,10 @@
 	return err
 }
 
-// Wait returns when the node has failed or was stopped.
+// Wait blocks until the node fails or is stopped, and returns its error.
 func (n *Node) Wait() error { return n.group.Wait() }
 
-// refusal builds a refusal with the remedy that belongs to its reason.
+// refusal returns a refusal with the remedy for its reason.
 func refusal(reason call.Reason, outcome call.Outcome, rule string) call.Refusal {
 	return call.Refusal{Reason: reason, Outcome: outcome, Rule: rule, Remedy: remedies[reason]}
 }
--- a/node/peer.go
+++ b/node/peer.go
@@ -13,20 +13,21 @@
 	"lovagelane/membership"
 )
 
-// peer is another node as this node calls it.
+// peer is the client side of another node.
 type peer struct {
 	id      string
 	address string
 
 	mu     sync.Mutex
 	client *fasthttp.HostClient
-	// questions carries the small messages about attempts on connections of its own, so that they pass a silent one.
-	questions *fasthttp.HostClient
-	dial      func(string) (net.Conn, error)
+	// messages is the client for control messages about attempts. It has connections of its own, so that messages get through
+	// when a connection for calls went silent.
+	messages *fasthttp.HostClient
+	dial     func(string) (net.Conn, error)
 }
 
-// nextAttempt numbers a new attempt to another node. One counter serves all receivers, so that a number is not used twice
-// for a member that was removed and came back.
+// nextAttempt returns the ID of a new attempt. One counter serves all receivers, so that no number is reused for a member
+// that was removed and came back.
 func (n *Node) nextAttempt(receiver string) call.Attempt {
 	return call.Attempt{Sender: n.self.ID, Receiver: receiver, Seq: n.attemptSeq.Next()}
 }
@@ -37,37 +38,37 @@
 	return p.client
 }
 
-// questionClient returns the client for small messages.
-func (p *peer) questionClient() *fasthttp.HostClient {
+// messageClient returns the client for control messages.
+func (p *peer) messageClient() *fasthttp.HostClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.questions == nil {
-		p.questions = newClient(p.address, p.dial, idleConnection)
+	if p.messages == nil {
+		p.messages = newClient(p.address, p.dial, peerIdleTimeout)
 	}
-	return p.questions
+	return p.messages
 }
 
-// dropQuestions leaves the connections for small messages behind, because one of them gave no answer.
-func (p *peer) dropQuestions(old *fasthttp.HostClient) {
+// dropMessageClient discards the client for control messages, after one of its connections gave no answer.
+func (p *peer) dropMessageClient(old *fasthttp.HostClient) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.questions == old {
-		p.questions = nil
+	if p.messages == old {
+		p.messages = nil
 		old.CloseIdleConnections()
 	}
 }
 
-// renew leaves all connections of the peer behind, because one of them went silent.
-func (p *peer) renew(old *fasthttp.HostClient) {
+// replaceClient replaces the client and so all connections to the peer, after one of them went silent.
+func (p *peer) replaceClient(old *fasthttp.HostClient) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.client == old {
-		p.client = newClient(p.address, p.dial, idleConnection)
+		p.client = newClient(p.address, p.dial, peerIdleTimeout)
 		old.CloseIdleConnections()
 	}
 }
 
-// peers holds the nodes that this node has called, by member id.
+// peers holds the nodes that this node has called, by member ID.
 type peers struct {
 	mu   sync.Mutex
 	byID map[string]*peer
@@ -81,14 +82,14 @@
 	}
 	p, ok := t.byID[id]
 	if !ok {
-		p = &peer{id: id, address: address, dial: connect, client: newClient(address, connect, idleConnection)}
+		p = &peer{id: id, address: address, dial: connect, client: newClient(address, connect, peerIdleTimeout)}
 		t.byID[id] = p
 	}
 	return p
 }
 
-// keep forgets peers that are no longer members.
-func (t *peers) keep(members map[string]membership.Member) {
+// retain removes peers that are no longer members.
+func (t *peers) retain(members map[string]membership.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, p := range t.byID {
@@ -99,23 +100,24 @@
 	}
 }
 
-// closeIdle is called now and then; fasthttp closes idle connections by itself once a client has been used.
+// closeIdle closes the idle connections of clients that were not used recently. fasthttp also closes idle connections by
+// itself once a client has been used.
 func (t *peers) closeIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.byID {
-		if client := p.current(); time.Since(client.LastUseTime()) > 2*idleConnection {
+		if client := p.current(); time.Since(client.LastUseTime()) > 2*peerIdleTimeout {
 			client.CloseIdleConnections()
 		}
 	}
 }
 
-// secure wraps the calls listener in mutual TLS.
-func (n *Node) secure(ln net.Listener) net.Listener {
+// withTLS wraps the calls listener in mutual TLS.
+func (n *Node) withTLS(ln net.Listener) net.Listener {
 	return tls.NewListener(ln, n.keyring.Server("http/1.1"))
 }
 
-// dialPeer opens a connection to another node with mutual TLS and marks a failure as errDial.
+// dialPeer opens a connection to another node with mutual TLS. A failure wraps errDial.
 func (n *Node) dialPeer(address string) (net.Conn, error) {
 	conn, err := dial(address)
 	if err != nil {
@@ -137,18 +139,19 @@
 	return n.peers.get(id, address, n.dialPeer)
 }
 
-// ask sends a small message to another node and returns the body of a 200 answer. Connections for such messages are kept:
-// a TLS handshake for each one cost more than the calls that they were about when many callers gave up at once.
-func (n *Node) ask(p *peer, path string, message []byte, timeout time.Duration) ([]byte, error) {
-	client := p.questionClient()
-	b, err := exchange(client, p.address, path, message, timeout)
+// sendMessage sends a control message to another node and returns the body of a 200 response. Connections for messages are
+// reused: when many callers gave up at once, a TLS handshake per message cost more than the calls that the messages were
+// about.
+func (n *Node) sendMessage(p *peer, path string, message []byte, timeout time.Duration) ([]byte, error) {
+	client := p.messageClient()
+	b, err := post(client, p.address, path, message, timeout)
 	if err != nil {
-		p.dropQuestions(client)
+		p.dropMessageClient(client)
 	}
 	return b, err
 }
 
-func exchange(client *fasthttp.HostClient, address, path string, message []byte, timeout time.Duration) ([]byte, error) {
+func post(client *fasthttp.HostClient, address, path string, message []byte, timeout time.Duration) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -158,7 +161,7 @@
 	if err := client.DoTimeout(req, resp, timeout); err != nil {
 		return nil, err
 	}
-	b, whole, err := takeBody(resp)
+	b, whole, err := readResponseBody(resp)
 	switch {
 	case err != nil:
 		return nil, err
@@ -166,7 +169,7 @@
 		return nil, Err.New("%s answered %d on %s", address, resp.StatusCode(), path)
 	case !whole:
 		_ = resp.CloseBodyStream()
-		return nil, Err.New("%s answered more than %d bytes on %s", address, bufferedBody, path)
+		return nil, Err.New("%s answered more than %d bytes on %s", address, maxBufferedBody, path)
 	}
 	return append([]byte(nil), b...), nil
 }
--- a/node/refusal.go
+++ b/node/refusal.go
@@ -11,7 +11,7 @@
 	"lovagelane/ticket"
 )
 
-// remedies tell a caller what to do about a refusal.
+// remedies maps the reason of a refusal to the advice for the caller.
 var remedies = map[call.Reason]string{
 	call.ReasonShed:            "send it again later: more important requests fill the capacity",
 	call.ReasonQueueFull:       "send it again later: more important requests fill the queue",
@@ -24,14 +24,14 @@
 	call.ReasonUnknownService:  "use a service of the inventory as the first part of the path",
 	call.ReasonRetriesSpent:    "start a new request: this one has used all its retries",
 	call.ReasonTicketRequired:  "send the same request again with the Lovagelane-Ticket header of this answer",
-	call.ReasonTicketInvalid:   "take a new ticket: send the request without Lovagelane-Ticket",
-	call.ReasonTicketExpired:   "check with the service whether it ran, then take a new ticket",
-	call.ReasonOwnerGone:       "check with the service whether it ran before ordering again: the node that knew is gone",
+	call.ReasonTicketInvalid:   "get a new ticket: send the request without Lovagelane-Ticket",
+	call.ReasonTicketExpired:   "check with the service whether it ran, then get a new ticket",
+	call.ReasonOwnerGone:       "check with the service whether it ran before sending it again: its ticket's owner is gone",
 	call.ReasonQuarantined:     "do not send this request again: it crashed backend servers",
 	call.ReasonFenced:          "send it again: its connection was lost before it arrived",
 	call.ReasonBodyTooLarge:    "send a smaller body, or raise max-body of the service",
 	call.ReasonBodyTooSlow:     "send the body faster, or over a better connection",
-	call.ReasonTooDeep:         "look for a loop in the call graph",
+	call.ReasonTooDeep:         "remove the loop from the call graph",
 	call.ReasonBadRequest:      "correct the request",
 	call.ReasonBusy:            "send it again later: a table of this node is full",
 
@@ -39,8 +39,8 @@
 	ticket.ReasonOtherIncarnation: "send it again later: the backend server was replaced",
 }
 
-// statuses are the HTTP statuses of refusals; a reason that is missing here is answered 503.
-var statuses = map[call.Reason]int{
+// statusCodes maps the reason of a refusal to its HTTP status. Any other reason is answered with 503.
+var statusCodes = map[call.Reason]int{
 	call.ReasonUnknownService: fasthttp.StatusNotFound,
 	call.ReasonTicketRequired: fasthttp.StatusPreconditionRequired,
 	call.ReasonTicketInvalid:  fasthttp.StatusBadRequest,
@@ -56,7 +56,7 @@
 	call.ReasonCancelled:      499,
 }
 
-// refuseUnreadable answers a request that could not be read, so that its caller learns that it did not run.
+// refuseUnreadable answers a request that could not be parsed, so that its caller knows that it did not run.
 func (n *Node) refuseUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	r := refusal(call.ReasonBadRequest, call.OutcomeNotRun, "")
 	var large *fasthttp.ErrSmallBuffer
@@ -81,9 +81,9 @@
 	Remedy  string      `json:"remedy"`
 }
 
-// writeRefusal answers a caller with a refusal.
+// writeRefusal writes a refusal to a caller.
 func writeRefusal(ctx *fasthttp.RequestCtx, r call.Refusal) {
-	status, ok := statuses[r.Reason]
+	status, ok := statusCodes[r.Reason]
 	if !ok {
 		status = fasthttp.StatusServiceUnavailable
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -12,23 +12,24 @@
 	"lovagelane/membership"
 )
 
-// relay passes TCP connections on to an address; it can forget the connections that are open, as a firewall does.
+// relay forwards TCP connections to an address. It can silence the open connections, like a firewall that dropped their
+// state.
 type relay struct {
 	ln    net.Listener
 	to    string
 	group *kernel.Group
 
 	mu   sync.Mutex
-	open []*silentPair
+	open []*relayConn
 }
 
-// silentPair is a connection through the relay.
-type silentPair struct {
+// relayConn is a connection through the relay.
+type relayConn struct {
 	a, b net.Conn
 
 	mu sync.Mutex
-	// quietUp and quietDown drop what the caller and what the other end sends.
-	quietUp, quietDown bool
+	// dropUp and dropDown discard what the caller and what the other end sends.
+	dropUp, dropDown bool
 }
 
 func newRelay(t *testing.T, to string) *relay {
@@ -58,22 +59,22 @@
 			_ = a.Close()
 			continue
 		}
-		p := &silentPair{a: a, b: b}
+		p := &relayConn{a: a, b: b}
 		r.mu.Lock()
 		r.open = append(r.open, p)
 		r.mu.Unlock()
-		r.group.Go("up", func(context.Context) error { return p.pass(b, a, &p.quietUp) })
-		r.group.Go("down", func(context.Context) error { return p.pass(a, b, &p.quietDown) })
+		r.group.Go("up", func(context.Context) error { return p.forward(b, a, &p.dropUp) })
+		r.group.Go("down", func(context.Context) error { return p.forward(a, b, &p.dropDown) })
 	}
 }
 
-func (p *silentPair) pass(to, from net.Conn, quiet *bool) error {
+func (p *relayConn) forward(to, from net.Conn, quiet *bool) error {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
 		if err != nil {
 			p.mu.Lock()
-			drop := p.quietUp || p.quietDown
+			drop := p.dropUp || p.dropDown
 			p.mu.Unlock()
 			if !drop {
 				_ = to.Close()
@@ -89,13 +90,13 @@
 	}
 }
 
-// forget makes every open connection silent from now on; new connections work.
-func (r *relay) forget(up, down bool) {
+// silence makes every open connection silent from now on. New connections work.
+func (r *relay) silence(up, down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.open {
 		p.mu.Lock()
-		p.quietUp, p.quietDown = up, down
+		p.dropUp, p.dropDown = up, down
 		p.mu.Unlock()
 	}
 }
@@ -107,9 +108,9 @@
 		"answer lost":  {down: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, chainInventory, chainRules)
+			d := newDeployment(t, chainInventory, chainRules)
 			var r *relay
-			w.via = func(m membership.Member) membership.Member {
+			d.announceAs = func(m membership.Member) membership.Member {
 				if m.Service == "payments" {
 					if r == nil {
 						r = newRelay(t, m.Calls)
@@ -118,14 +119,14 @@
 				}
 				return m
 			}
-			payments := w.station("payments", text("paid"))
-			entry := w.station("nursery", through("nursery", "POST", "/payments/pay"))
-			first := w.send(entry.Addresses().Callers, "GET", "/nursery/x", "")
+			payments := d.startInstance("payments", text("paid"))
+			entry := d.startInstance("nursery", callThrough("nursery", "POST", "/payments/pay"))
+			first := d.send(entry.Addresses().Callers, "GET", "/nursery/x", "")
 			require.Equal(t, "nursery(paid)", string(first.Body()))
 			require.EqualValues(t, 1, payments.ran.Load())
 
-			r.forget(tc.up, tc.down)
-			second := w.send(entry.Addresses().Callers, "GET", "/nursery/x?again", "")
+			r.silence(tc.up, tc.down)
+			second := d.send(entry.Addresses().Callers, "GET", "/nursery/x?again", "")
 			require.Equal(t, "nursery(paid)", string(second.Body()))
 			require.EqualValues(t, 2, payments.ran.Load())
 		})
--- a/node/request.go
+++ b/node/request.go
@@ -7,16 +7,16 @@
 	"lovagelane/retry"
 )
 
-// requests recognises resends that enter at this node and opens the retry accounts of requests.
-type requests struct {
+// resendTracker detects resends of requests that enter at this node and creates the retry budgets of requests.
+type resendTracker struct {
 	policy retry.Policy
 
 	mu    sync.Mutex
 	sends retry.Requests
 }
 
-// use selects the retry policy by name; an empty name means the default.
-func (r *requests) use(name string) error {
+// setPolicy selects the retry policy by name. An empty name selects the default.
+func (r *resendTracker) setPolicy(name string) error {
 	if name == "" {
 		name = retry.DefaultPolicy
 	}
@@ -25,28 +25,29 @@
 	return err
 }
 
-// begin records a send and returns its account and resend number; ok is false when the request has used its bound.
-func (r *requests) begin(now time.Time, s retry.Send) (a *account, resend int, ok bool) {
+// begin records a send and returns its retry budget and resend number. It returns false when the request has used all its
+// retries.
+func (r *resendTracker) begin(now time.Time, s retry.Send) (budget *retryBudget, resend int, ok bool) {
 	r.mu.Lock()
 	resend = r.sends.Begin(now, s)
 	r.mu.Unlock()
 	entry, ok := r.policy.Entry(resend)
-	return newAccount(r.policy, entry), resend, ok
+	return newRetryBudget(r.policy, entry), resend, ok
 }
 
 // end records whether a send got an answer of a backend server.
-func (r *requests) end(now time.Time, s retry.Send, resend int, good bool) {
+func (r *resendTracker) end(now time.Time, s retry.Send, resend int, gotAnswer bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sends.End(now, s, resend, good)
+	r.sends.End(now, s, resend, gotAnswer)
 }
 
-// received returns the account of a call from another node.
-func (r *requests) received(allowance int) *account {
-	return newAccount(r.policy, r.policy.Received(allowance))
+// receivedBudget returns the budget of a call from another node.
+func (r *resendTracker) receivedBudget(allowance int) *retryBudget {
+	return newRetryBudget(r.policy, r.policy.Received(allowance))
 }
 
-// owned returns the account of a request that its owner starts.
-func (r *requests) owned(allowance int) *account {
-	return newAccount(r.policy, retry.NewAccount(allowance))
+// ticketBudget returns the budget of a request that the owner of its ticket starts.
+func (r *resendTracker) ticketBudget(allowance int) *retryBudget {
+	return newRetryBudget(r.policy, retry.NewAccount(allowance))
 }
--- a/node/serving.go
+++ b/node/serving.go
@@ -15,14 +15,14 @@
 	"lovagelane/ticket"
 )
 
-// crashSpread is the time in which a crash report reaches all nodes: about 7 hops within a region, one of 30 ms between
-// regions, and the processing on the way.
-const crashSpread = 150 * time.Millisecond
+// crashSpreadTime is the time in which a crash report reaches all nodes: about 7 gossip hops within a region, one hop of 30
+// ms between regions, and the processing on each hop.
+const crashSpreadTime = 150 * time.Millisecond
 
-// lovagelanePath is the prefix of the paths that nodes answer themselves.
+// lovagelanePath is the prefix of the paths that nodes handle themselves.
 var lovagelanePath = []byte("/lovagelane/")
 
-// handleCalls serves the calls listener, which only nodes and operators of the deployment can reach.
+// handleCalls serves the calls listener, which accepts only nodes and operators of the deployment.
 func (n *Node) handleCalls(ctx *fasthttp.RequestCtx) {
 	role, err := peerRole(ctx)
 	if err != nil {
@@ -43,22 +43,22 @@
 	}
 }
 
-// peerRole returns the role that the peer's key carries.
+// peerRole returns the role in the peer's certificate.
 func peerRole(ctx *fasthttp.RequestCtx) (keys.Role, error) {
 	state := ctx.TLSConnectionState()
 	if state == nil {
-		return "", Err.New("the peer has no key: use one of the deployment")
+		return "", Err.New("the peer has no client certificate: use a key of the deployment")
 	}
 	return keys.PeerRole(*state)
 }
 
-// handleMessage answers the small messages between nodes.
+// handleMessage handles control messages of other nodes about attempts.
 func (n *Node) handleMessage(ctx *fasthttp.RequestCtx, path string) {
 	if path != pathAttempt && path != pathCancel {
 		ctx.Error("unknown path: upgrade the older node", fasthttp.StatusNotFound)
 		return
 	}
-	q, err := n.attemptQuestion(ctx)
+	q, err := n.decodeAttemptQuery(ctx)
 	if err != nil {
 		n.metrics.Add("malformed-messages", 1)
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -68,7 +68,7 @@
 		n.cancelAttempt(q.Attempt)
 		return
 	}
-	b, err := cbor.Marshal(n.stateOf(q))
+	b, err := cbor.Marshal(n.answerQuery(q))
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
@@ -76,30 +76,30 @@
 	ctx.SetBody(b)
 }
 
-func (n *Node) attemptQuestion(ctx *fasthttp.RequestCtx) (attemptQuestion, error) {
-	var q attemptQuestion
-	b, reason := readBody(ctx, bufferedBody)
+func (n *Node) decodeAttemptQuery(ctx *fasthttp.RequestCtx) (attemptQuery, error) {
+	var q attemptQuery
+	b, reason := readBody(ctx, maxBufferedBody)
 	message, ok := b.(buffered)
 	if reason != call.ReasonNone || !ok {
-		return q, Err.New("the message is not readable: %s", reason)
+		return q, Err.New("the message body cannot be read: %s", reason)
 	}
 	if err := cbor.Unmarshal(message, &q); err != nil {
 		return q, Err.Wrap(err)
 	}
 	if q.Version != call.MetaVersion || q.Attempt.Sender == "" {
-		return q, Err.New("version %d or the attempt is not valid: upgrade the older node", q.Version)
+		return q, Err.New("the version %d or the attempt of the message is not valid: upgrade the older node", q.Version)
 	}
 	return q, nil
 }
 
 func (n *Node) cancelAttempt(a call.Attempt) {
-	f, ok := n.flights.withAttempt(a)
+	f, ok := n.flights.findByAttempt(a)
 	if ok && !f.meta.NonIdempotent && f.cancel() {
-		n.backend.cancel(f.context)
+		n.backend.cancel(f.contextID)
 	}
 }
 
-// handleCall admits or refuses a call from another node and passes it to the own backend server.
+// handleCall admits or refuses a call from another node and passes an admitted one to the own backend server.
 func (n *Node) handleCall(ctx *fasthttp.RequestCtx) {
 	arrived := n.clock.Now()
 	meta, err := call.DecodeMeta(ctx.Request.Header.Peek(headerCall))
@@ -110,7 +110,7 @@
 		return
 	}
 	service, target := splitPath(ctx.Request.Header.RequestURI())
-	if reason := n.mayServe(arrived, service, meta); reason != call.ReasonNone {
+	if reason := n.checkCall(arrived, service, meta); reason != call.ReasonNone {
 		n.answerRefusal(ctx, nil, meta, refusal(reason, call.OutcomeNotRun, meta.Rule))
 		return
 	}
@@ -119,10 +119,10 @@
 		n.answerRefusal(ctx, nil, meta, refusal(reason, call.OutcomeNotRun, meta.Rule))
 		return
 	}
-	// The attempt is recorded before anything of it can run, and after its body is here, so that a fence that comes in
-	// between finds it absent and keeps it from running.
+	// The attempt is recorded after its body has arrived and before any of it can run. A fence in between finds the attempt
+	// absent and keeps it from running.
 	if meta.NonIdempotent {
-		if reason := n.attempts.arrive(n.clock.Now(), meta.Attempt); reason != call.ReasonNone {
+		if reason := n.attempts.register(n.clock.Now(), meta.Attempt); reason != call.ReasonNone {
 			outcome := call.OutcomeNotRun
 			if reason == ticket.ReasonAttemptRepeated {
 				outcome = call.OutcomeUnknown
@@ -131,12 +131,12 @@
 			return
 		}
 	}
-	f := n.flights.add(meta, arrived.Add(meta.Remaining()), n.requests.received(int(meta.Allowance)), n.rand.Uint64())
+	f := n.flights.add(meta, arrived.Add(meta.Remaining()), n.resends.receivedBudget(int(meta.Allowance)), n.rand.Uint64())
 	n.runFlight(ctx, f, target, b)
 }
 
-// mayServe checks what can be checked without a queue.
-func (n *Node) mayServe(now time.Time, service string, meta call.Meta) call.Reason {
+// checkCall returns the reason for refusing a call before it is queued, or ReasonNone.
+func (n *Node) checkCall(now time.Time, service string, meta call.Meta) call.Reason {
 	switch {
 	case n.refusing.Load():
 		return call.ReasonDraining
@@ -148,20 +148,20 @@
 		return call.ReasonFenced
 	case !n.backend.isUp():
 		return call.ReasonNoBackendServer
-	case n.poison.refuses(now, meta.Digest, int(meta.Crashes)):
+	case n.quarantined.refuses(now, meta.Digest, int(meta.Crashes)):
 		return call.ReasonQuarantined
 	}
 	return call.ReasonNone
 }
 
-// runFlight queues a call, runs it and answers.
+// runFlight queues a call, runs it and writes the answer.
 func (n *Node) runFlight(ctx *fasthttp.RequestCtx, f *flight, target string, b body) {
 	queued := n.clock.Now()
-	slot, reason := n.gate.enter(n.clock.Now, admission.Item{Priority: f.meta.Priority, Operation: f.meta.Operation,
+	slot, reason := n.gate.acquire(n.clock.Now, admission.Item{Priority: f.meta.Priority, Operation: f.meta.Operation,
 		Caller: f.meta.Caller, Deadline: f.deadline}, f.cancelled)
 	n.metrics.Observe("queue-time", n.clock.Now().Sub(queued))
 	if reason != call.ReasonNone {
-		n.endNotRun(ctx, f, refusal(reason, call.OutcomeNotRun, n.refusalRule(f.meta, reason)))
+		n.refuseFlight(ctx, f, refusal(reason, call.OutcomeNotRun, n.refusalRule(f.meta, reason)))
 		return
 	}
 	f.setRunning()
@@ -169,7 +169,7 @@
 	resp, err := n.callBackend(ctx, f, target, b)
 	end := func() {
 		s := admission.Sample{Latency: n.clock.Now().Sub(started), Failed: err != nil}
-		n.gate.leave(n.clock.Now(), slot, s)
+		n.gate.release(n.clock.Now(), slot, s)
 		n.flights.remove(f)
 	}
 	if err != nil {
@@ -179,7 +179,8 @@
 	n.answerFlight(ctx, f, resp, started, end)
 }
 
-// refusalRule names the line that a refusal comes from, or says that the limit was learned and which line bounds it.
+// refusalRule names the line of the inventory or rules that a refusal comes from. For a learned limit it names the line that
+// bounds the limit.
 func (n *Node) refusalRule(meta call.Meta, reason call.Reason) string {
 	switch reason {
 	case call.ReasonShed, call.ReasonQueueFull:
@@ -192,8 +193,8 @@
 	return meta.Rule
 }
 
-// endNotRun answers a call that never reached the backend server.
-func (n *Node) endNotRun(ctx *fasthttp.RequestCtx, f *flight, r call.Refusal) {
+// refuseFlight refuses a call that never reached the backend server.
+func (n *Node) refuseFlight(ctx *fasthttp.RequestCtx, f *flight, r call.Refusal) {
 	if f.meta.NonIdempotent {
 		n.attempts.finish(n.clock.Now(), f.meta.Attempt, ticket.Answer{Outcome: call.OutcomeNotRun, Reason: r.Reason})
 	}
@@ -201,19 +202,19 @@
 	n.answerRefusal(ctx, f, f.meta, r)
 }
 
-// callBackend passes a call to the own backend server and waits for the answer or the deadline.
+// callBackend sends a call to the own backend server and waits for the answer or the deadline.
 func (n *Node) callBackend(ctx *fasthttp.RequestCtx, f *flight, target string, b body) (*fasthttp.Response, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	copyRequestHeaders(&req.Header, &ctx.Request.Header)
 	req.Header.SetMethodBytes(ctx.Method())
 	req.SetRequestURI("http://" + n.backend.address + target)
-	req.Header.Set(headerContext, f.context)
+	req.Header.Set(headerContext, f.contextID)
 	remaining := f.deadline.Sub(n.clock.Now())
 	req.Header.Set(headerDeadline, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	setBody(req, b)
 
-	// The exchange stays on this goroutine: handing it to another one and back costs two wake-ups for each call. A
-	// cancellation reaches the backend server from the goroutine that brings it.
+	// The HTTP exchange stays on this goroutine, since handing it to another one and back costs two wake-ups per call. A
+	// cancellation is sent to the backend server by the goroutine that receives it.
 	err := n.backend.client.Load().DoDeadline(req, resp, f.deadline)
 	fasthttp.ReleaseRequest(req)
 	if err != nil {
@@ -223,7 +224,7 @@
 	return resp, nil
 }
 
-// failFlight answers a call for which the backend server gave no answer.
+// failFlight refuses a call for which the backend server gave no answer.
 func (n *Node) failFlight(ctx *fasthttp.RequestCtx, f *flight, err error, end func()) {
 	r := refusal(call.ReasonBackendFailed, call.OutcomeUnknown, "")
 	switch {
@@ -232,12 +233,12 @@
 	case errors.Is(err, fasthttp.ErrTimeout):
 		r = refusal(call.ReasonDeadline, call.OutcomeUnknown, f.meta.Rule)
 		f.cancel()
-		n.backend.cancel(f.context)
+		n.backend.cancel(f.contextID)
 	default:
-		n.noteCrash()
-		if !n.backend.isUp() || n.noteBrokenCall(f, err) {
-			f.learn(f.level, max(int(f.meta.Crashes)+1, n.poison.crashes(n.clock.Now(), f.meta.Digest)))
-			n.awaitSpread(f.deadline)
+		n.reportCrash()
+		if !n.backend.isUp() || n.reportConnectionLoss(f, err) {
+			f.recordDownstream(f.level, max(int(f.meta.Crashes)+1, n.quarantined.crashCount(n.clock.Now(), f.meta.Digest)))
+			n.awaitCrashSpread(f.deadline)
 		}
 	}
 	end()
@@ -247,23 +248,23 @@
 	n.answerRefusal(ctx, f, f.meta, r)
 }
 
-// awaitSpread holds the answer to a call that crashed the backend server until the report of it has reached the other
-// nodes, so that neither a retry nor a resend meets a node that has not heard of the crash.
-func (n *Node) awaitSpread(deadline time.Time) {
-	timer := time.NewTimer(min(crashSpread, deadline.Sub(n.clock.Now())))
+// awaitCrashSpread delays the answer to a call that crashed the backend server until the crash report has reached the other
+// nodes, so that no retry or resend arrives at a node without the report.
+func (n *Node) awaitCrashSpread(deadline time.Time) {
+	timer := time.NewTimer(min(crashSpreadTime, deadline.Sub(n.clock.Now())))
 	defer timer.Stop()
 	<-timer.C
 }
 
-// answerFlight passes the backend server's answer on; the slot is freed when the whole answer has been read.
+// answerFlight forwards the backend server's answer. The slot is freed when the whole answer has been read.
 func (n *Node) answerFlight(ctx *fasthttp.RequestCtx, f *flight, resp *fasthttp.Response, started time.Time, end func()) {
-	b, whole, err := takeBody(resp)
+	b, whole, err := readResponseBody(resp)
 	if err != nil {
 		fasthttp.ReleaseResponse(resp)
 		n.failFlight(ctx, f, err, end)
 		return
 	}
-	if reports := n.poison.answered(n.clock.Now(), f.meta.Digest); len(reports) > 0 {
+	if reports := n.quarantined.recordAnswer(n.clock.Now(), f.meta.Digest); len(reports) > 0 {
 		n.control.SpreadCrash(reports)
 	}
 	copyResponseHeaders(&ctx.Response.Header, &resp.Header)
@@ -276,7 +277,7 @@
 		end()
 	} else {
 		answer.Truncated = true
-		ctx.Response.SetBodyStream(&closingStream{Reader: resp.BodyStream(), done: func() {
+		ctx.Response.SetBodyStream(&closingStream{Reader: resp.BodyStream(), onClose: func() {
 			discard(answered{resp: resp})
 			end()
 		}}, resp.Header.ContentLength())
@@ -291,7 +292,7 @@
 	n.metrics.Add("served", 1, f.meta.Operation)
 }
 
-// answerRefusal answers another node with a refusal.
+// answerRefusal refuses a call from another node.
 func (n *Node) answerRefusal(ctx *fasthttp.RequestCtx, f *flight, m call.Meta, r call.Refusal) {
 	n.metrics.Add("refusals", 1, string(r.Reason), m.Operation)
 	writeRefusal(ctx, r)
@@ -300,14 +301,14 @@
 	ctx.Response.Header.Set(headerAnswer, meta.Encode())
 }
 
-// answerMeta reports level, load and the unused part of the retry allowance.
+// answerMeta returns the answer metadata: admission level, load and the unused part of the retry allowance.
 func (n *Node) answerMeta(f *flight, m call.Meta) call.AnswerMeta {
-	level, load := n.gate.report()
+	level, load := n.gate.levelAndLoad()
 	meta := call.AnswerMeta{Allowance: m.Allowance, Level: level, OwnLevel: level, Load: load, Crashes: m.Crashes}
 	if f != nil {
-		below, crashes := f.learned()
+		below, crashes := f.downstream()
 		meta.Level = call.MoreImportant(level, below)
-		meta.Allowance, meta.Crashes = uint8(f.account.left()), uint8(crashes)
+		meta.Allowance, meta.Crashes = uint8(f.budget.remaining()), uint8(crashes)
 	}
 	return meta
 }
--- a/node/state.go
+++ b/node/state.go
@@ -9,23 +9,23 @@
 	"lovagelane/ticket"
 )
 
-// askTimeout bounds a question about an attempt.
-const askTimeout = 500 * time.Millisecond
+// queryTimeout bounds a control message about an attempt.
+const queryTimeout = 500 * time.Millisecond
 
-// Paths between nodes.
+// Paths of control messages between nodes.
 const (
 	pathAttempt = "/lovagelane/attempt"
 	pathCancel  = "/lovagelane/cancel"
 )
 
-// attemptQuestion asks a serving node about an attempt.
-type attemptQuestion struct {
+// attemptQuery queries a serving node for the state of an attempt.
+type attemptQuery struct {
 	Version       uint8        `cbor:"1,keyasint"`
 	Attempt       call.Attempt `cbor:"2,keyasint"`
 	NonIdempotent bool         `cbor:"3,keyasint"`
 }
 
-// attemptState answers an attemptQuestion.
+// attemptState is the response to an attemptQuery.
 type attemptState struct {
 	Version uint8         `cbor:"1,keyasint"`
 	Outcome call.Outcome  `cbor:"2,keyasint"`
@@ -33,37 +33,38 @@
 	Answer  ticket.Answer `cbor:"4,keyasint"`
 }
 
-// stateAnswer is a serving node's word on an attempt.
-type stateAnswer struct {
-	try   *launched
-	state ticket.State
-	err   error
+// stateResult is the result of querying a serving node for an attempt.
+type stateResult struct {
+	attempt *sentAttempt
+	state   ticket.State
+	err     error
 }
 
-// askStates asks about every attempt that is still silent; the answers arrive on t.states.
-func (t *try) askStates() {
-	for _, l := range t.attempts {
-		if l.settled {
+// queryStates queries the state of every attempt without a result. The results arrive on h.states.
+func (h *hedgedAttempt) queryStates() {
+	for _, a := range h.attempts {
+		if a.settled {
 			continue
 		}
-		states, n, nonIdempotent := t.states, t.n, t.out.op.NonIdempotent
+		states, n, nonIdempotent := h.states, h.n, h.out.op.NonIdempotent
 		n.pool.Submit(func() {
-			state, err := n.askState(l, nonIdempotent)
+			state, err := n.queryState(a, nonIdempotent)
 			select {
-			case states <- stateAnswer{l, state, err}:
-			default: // The try is over, or an earlier answer has not been read yet.
+			case states <- stateResult{a, state, err}:
+			default: // The call is over, or an earlier result has not been read yet.
 			}
 		})
 	}
 }
 
-// askState asks the serving node over another connection; a non-idempotent attempt that it never saw is fenced by this.
-func (n *Node) askState(l *launched, nonIdempotent bool) (ticket.State, error) {
-	message, err := cbor.Marshal(attemptQuestion{Version: call.MetaVersion, Attempt: l.attempt, NonIdempotent: nonIdempotent})
+// queryState queries the serving node over another connection. The query fences a non-idempotent attempt that the serving
+// node has not seen.
+func (n *Node) queryState(a *sentAttempt, nonIdempotent bool) (ticket.State, error) {
+	message, err := cbor.Marshal(attemptQuery{Version: call.MetaVersion, Attempt: a.attempt, NonIdempotent: nonIdempotent})
 	if err != nil {
 		return ticket.State{}, err
 	}
-	b, err := n.ask(l.peer, pathAttempt, message, askTimeout)
+	b, err := n.sendMessage(a.peer, pathAttempt, message, queryTimeout)
 	if err != nil {
 		return ticket.State{}, err
 	}
@@ -74,24 +75,25 @@
 	return ticket.State{Outcome: s.Outcome, Running: s.Running, Answer: s.Answer}, nil
 }
 
-// sendCancel tells a serving node that the caller of an attempt gave up; a lost message only costs wasted work.
-func (n *Node) sendCancel(l *launched) {
-	message, err := cbor.Marshal(attemptQuestion{Version: call.MetaVersion, Attempt: l.attempt})
+// sendCancel notifies a serving node that the caller of an attempt gave up. If the message is lost, the only cost is wasted
+// work.
+func (n *Node) sendCancel(a *sentAttempt) {
+	message, err := cbor.Marshal(attemptQuery{Version: call.MetaVersion, Attempt: a.attempt})
 	if err != nil {
 		return
 	}
-	_, _ = n.ask(l.peer, pathCancel, message, askTimeout)
+	_, _ = n.sendMessage(a.peer, pathCancel, message, queryTimeout)
 	n.metrics.Add("cancellations-sent", 1)
 }
 
-// stateOf answers a question about an attempt at the own backend server.
-func (n *Node) stateOf(q attemptQuestion) attemptState {
-	if _, ok := n.flights.withAttempt(q.Attempt); ok {
+// answerQuery returns the state of an attempt at the own backend server.
+func (n *Node) answerQuery(q attemptQuery) attemptState {
+	if _, ok := n.flights.findByAttempt(q.Attempt); ok {
 		return attemptState{Version: call.MetaVersion, Running: true}
 	}
 	if q.Attempt.Receiver != n.self.ID || !q.NonIdempotent {
-		// Nothing is recorded of another incarnation, nor of idempotent attempts that ended: this one may have run, or may
-		// still arrive.
+		// Attempts of another incarnation and finished idempotent attempts are not recorded. Such an attempt may have run, or
+		// may still arrive.
 		return attemptState{Version: call.MetaVersion, Outcome: call.OutcomeUnknown}
 	}
 	s := n.attempts.fence(n.clock.Now(), q.Attempt)
--- a/node/tables.go
+++ b/node/tables.go
@@ -14,105 +14,106 @@
 	"lovagelane/ticket"
 )
 
-// poison guards the table of requests that crash backend servers.
-type poison struct {
+// quarantineTable guards the table of requests that crash backend servers.
+type quarantineTable struct {
 	mu    sync.Mutex
 	table quarantine.Table
 }
 
-func (p *poison) refuses(now time.Time, digest uint64, crashes int) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.table.Refuses(now, digest, crashes)
+func (q *quarantineTable) refuses(now time.Time, digest uint64, crashes int) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.table.Refuses(now, digest, crashes)
 }
 
-func (p *poison) crashed(now time.Time, crash string, digests []uint64) []quarantine.Report {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.table.Crashed(now, crash, digests)
+func (q *quarantineTable) recordCrash(now time.Time, crash string, digests []uint64) []quarantine.Report {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.table.Crashed(now, crash, digests)
 }
 
-func (p *poison) answered(now time.Time, digest uint64) []quarantine.Report {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.table.Answered(now, digest)
+func (q *quarantineTable) recordAnswer(now time.Time, digest uint64) []quarantine.Report {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.table.Answered(now, digest)
 }
 
-func (p *poison) merge(now time.Time, r quarantine.Report) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.table.Merge(now, r)
+func (q *quarantineTable) merge(now time.Time, r quarantine.Report) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.table.Merge(now, r)
 }
 
-func (p *poison) crashes(now time.Time, digest uint64) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.table.Crashes(now, digest)
+func (q *quarantineTable) crashCount(now time.Time, digest uint64) int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.table.Crashes(now, digest)
 }
 
 func crashID(member string, number uint64) string {
 	return member + "-" + strconv.FormatUint(number, 10)
 }
 
-// pressures guards what the node learned of the call graphs behind its operations, and the callers' shares.
-type pressures struct {
+// entryAdmission guards the admission levels learned from the call graphs behind each operation, and the fair shares of the
+// callers.
+type entryAdmission struct {
 	mu     sync.Mutex
 	levels pressure.Levels
 	shares pressure.Shares
 }
 
-func (p *pressures) admit(now time.Time, operation string, priority call.Priority) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.levels.Admit(now, operation, priority)
+func (e *entryAdmission) admit(now time.Time, operation string, priority call.Priority) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.levels.Admit(now, operation, priority)
 }
 
-func (p *pressures) learn(now time.Time, operation string, level call.Priority) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.levels.Learn(now, operation, level)
+func (e *entryAdmission) learnLevel(now time.Time, operation string, level call.Priority) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.levels.Learn(now, operation, level)
 }
 
-func (p *pressures) value(now time.Time, class, caller string, base uint8) uint8 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.shares.Value(now, class, caller, base)
+func (e *entryAdmission) priorityValue(now time.Time, class, caller string, base uint8) uint8 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.shares.Value(now, class, caller, base)
 }
 
-func (p *pressures) refused(now time.Time, class string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.shares.Refused(now, class)
+func (e *entryAdmission) recordRefusal(now time.Time, class string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.shares.Refused(now, class)
 }
 
-// attempts guards the table of non-idempotent attempts at the own backend server.
-type attempts struct {
+// attemptTable guards the table of non-idempotent attempts at the own backend server.
+type attemptTable struct {
 	mu    sync.Mutex
 	table *ticket.Attempts
 }
 
-func (a *attempts) init(member string) { a.table = ticket.NewAttempts(member) }
+func (a *attemptTable) init(member string) { a.table = ticket.NewAttempts(member) }
 
-func (a *attempts) arrive(now time.Time, attempt call.Attempt) call.Reason {
+func (a *attemptTable) register(now time.Time, attempt call.Attempt) call.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.Arrive(now, attempt)
 }
 
-func (a *attempts) finish(now time.Time, attempt call.Attempt, answer ticket.Answer) {
+func (a *attemptTable) finish(now time.Time, attempt call.Attempt, answer ticket.Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.Finish(now, attempt, answer)
 }
 
-func (a *attempts) fence(now time.Time, attempt call.Attempt) ticket.State {
+func (a *attemptTable) fence(now time.Time, attempt call.Attempt) ticket.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.Fence(now, attempt)
 }
 
-// baseValue spreads requests over the values of a class by their identity; the secret keeps callers from choosing an id
-// with an important value.
+// baseValue spreads requests evenly over the priority values of a class by a hash of their ID. The secret keeps callers from
+// choosing an ID with an important value.
 func baseValue(secret []byte, requestID string) uint8 {
 	h := xxhash.New()
 	_, _ = h.Write(secret)
--- a/node/try.go
+++ b/node/try.go
@@ -7,38 +7,38 @@
 	"lovagelane/call"
 )
 
-// missesUntilLost is how often a serving node must not know an idempotent attempt before its answer counts as lost; the
-// first time, the answer may still be on its way.
-const missesUntilLost = 2
+// maxMisses is how many times a serving node must not know an idempotent attempt before its answer counts as lost. The first
+// time, the answer may still be in transit.
+const maxMisses = 2
 
-// race lets one attempt of a try win; the others are discarded.
+// race selects the first answer among the attempts of a hedgedAttempt. The other results are discarded.
 type race struct {
-	mu   sync.Mutex
-	over bool
+	mu      sync.Mutex
+	stopped bool
 }
 
-// finish hands a result to the try and reports false when the try is over.
-func (r *race) finish(t *try, result attemptResult) bool {
+// deliver passes a result to h. It returns false when h has already ended.
+func (r *race) deliver(h *hedgedAttempt, result attemptResult) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
-		// The share comes back even when the answer is not needed any more.
-		t.settleShare(result)
+	if r.stopped {
+		// The unused retries are returned even when the answer is no longer needed.
+		h.returnShare(result)
 		return false
 	}
-	t.results <- result
+	h.results <- result
 	return true
 }
 
-// end closes the race and discards results that have arrived and were not taken.
-func (r *race) end(t *try) {
+// stop ends the race and discards results that have arrived but were not read.
+func (r *race) stop(h *hedgedAttempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over = true
+	r.stopped = true
 	for {
 		select {
-		case result := <-t.results:
-			t.settleShare(result)
+		case result := <-h.results:
+			h.returnShare(result)
 			discard(result.reply)
 		default:
 			return
@@ -46,206 +46,206 @@
 	}
 }
 
-// settleShare gives the unused part of an attempt's share back to the request's account, and keeps what the answer tells
-// of the calls below.
-func (t *try) settleShare(result attemptResult) {
+// returnShare returns the unused part of an attempt's share to the request's retry budget.
+func (h *hedgedAttempt) returnShare(result attemptResult) {
 	var meta call.AnswerMeta
 	switch r := result.reply.(type) {
 	case answered:
 		meta = r.meta
-	case refusedWith:
+	case remoteRefusal:
 		meta = r.meta
 	default:
-		if result.end.DialFailed {
-			t.out.account.giveBack(result.try.share, result.try.share)
+		if result.feedback.DialFailed {
+			h.out.budget.returnUnused(result.attempt.share, result.attempt.share)
 		}
 		return
 	}
-	t.out.account.giveBack(result.try.share, int(meta.Allowance))
+	h.out.budget.returnUnused(result.attempt.share, int(meta.Allowance))
 }
 
-// learn keeps the level and the crash count that an answer brought; only the goroutine of the call uses it.
-func (t *try) learn(r reply) {
+// recordMeta records the admission level and the crash count of an answer. Only the goroutine of the call may use it.
+func (h *hedgedAttempt) recordMeta(r reply) {
 	switch r := r.(type) {
 	case answered:
-		t.out.level = call.MoreImportant(t.out.level, r.meta.Level)
-		t.out.crashes = max(t.out.crashes, int(r.meta.Crashes))
-	case refusedWith:
-		t.out.level = call.MoreImportant(t.out.level, r.meta.Level)
-		t.out.crashes = max(t.out.crashes, int(r.meta.Crashes))
+		h.out.level = call.MoreImportant(h.out.level, r.meta.Level)
+		h.out.crashes = max(h.out.crashes, int(r.meta.Crashes))
+	case remoteRefusal:
+		h.out.level = call.MoreImportant(h.out.level, r.meta.Level)
+		h.out.crashes = max(h.out.crashes, int(r.meta.Crashes))
 	}
 }
 
-// wait returns the end of the try: the first answer, or the last refusal when every attempt failed.
-func (t *try) wait() reply {
-	defer t.race.end(t)
-	usual := t.chooser.hedgeDelay()
-	silence := time.NewTimer(max(shortestSilence, usualFactor*usual))
-	defer silence.Stop()
-	hedge := time.NewTimer(t.hedgeAfter(usual))
-	defer hedge.Stop()
-	deadline := time.NewTimer(t.out.deadline.Sub(t.n.clock.Now()) + answerMargin)
-	defer deadline.Stop()
-	asked := max(shortestSilence, usualFactor*usual)
-	cancelled := t.out.cancelled
-	if t.isStreamed() {
-		// The attempt reads from the caller's connection: it must end before the caller's handler does.
+// wait returns the first answer, or the last refusal when every attempt failed.
+func (h *hedgedAttempt) wait() reply {
+	defer h.race.stop(h)
+	hedgeDelay := h.chooser.hedgeDelay()
+	silenceTimer := time.NewTimer(max(minSilence, silenceFactor*hedgeDelay))
+	defer silenceTimer.Stop()
+	hedgeTimer := time.NewTimer(h.hedgeAfter(hedgeDelay))
+	defer hedgeTimer.Stop()
+	deadlineTimer := time.NewTimer(h.out.deadline.Sub(h.n.clock.Now()) + answerMargin)
+	defer deadlineTimer.Stop()
+	silenceInterval := max(minSilence, silenceFactor*hedgeDelay)
+	cancelled := h.out.cancelled
+	if h.isStreamed() {
+		// The attempt reads from the caller's connection, so it must end before the caller's handler returns.
 		cancelled = nil
 	}
 	for {
 		select {
-		case result := <-t.results:
-			if r, done := t.take(result); done {
+		case result := <-h.results:
+			if r, done := h.handleResult(result); done {
 				return r
 			}
-		case state := <-t.states:
-			if r, done := t.takeState(state); done {
+		case state := <-h.states:
+			if r, done := h.handleState(state); done {
 				return r
 			}
-		case <-silence.C:
-			t.askStates()
-			asked *= 2
-			silence.Reset(asked)
-		case <-hedge.C:
-			t.hedge()
+		case <-silenceTimer.C:
+			h.queryStates()
+			silenceInterval *= 2
+			silenceTimer.Reset(silenceInterval)
+		case <-hedgeTimer.C:
+			h.hedge()
 		case <-cancelled:
-			t.cancelAll()
+			h.cancelAll()
 			return refused{refusal(call.ReasonCancelled, call.OutcomeUnknown, "")}
-		case <-deadline.C:
-			t.cancelAll()
-			if t.isStreamed() {
-				result := <-t.results
-				t.settleShare(result)
+		case <-deadlineTimer.C:
+			h.cancelAll()
+			if h.isStreamed() {
+				result := <-h.results
+				h.returnShare(result)
 				discard(result.reply)
 			}
-			return refused{refusal(call.ReasonDeadline, call.OutcomeUnknown, t.out.op.TimeoutLine.String())}
+			return refused{refusal(call.ReasonDeadline, call.OutcomeUnknown, h.out.op.TimeoutLine.String())}
 		}
 	}
 }
 
-func (t *try) isStreamed() bool {
-	_, ok := t.out.body.(streamed)
+func (h *hedgedAttempt) isStreamed() bool {
+	_, ok := h.out.body.(streamed)
 	return ok
 }
 
-// hedgeAfter returns when a second attempt is worth sending, or a time beyond the deadline.
-func (t *try) hedgeAfter(usual time.Duration) time.Duration {
-	if usual == 0 || t.out.op.NonIdempotent || t.isStreamed() || t.out.account.left() == 0 {
-		return t.out.deadline.Sub(t.n.clock.Now()) + time.Hour
+// hedgeAfter returns the delay before a hedged attempt, or a delay beyond the deadline when the call must not be hedged.
+func (h *hedgedAttempt) hedgeAfter(hedgeDelay time.Duration) time.Duration {
+	if hedgeDelay == 0 || h.out.op.NonIdempotent || h.isStreamed() || h.out.budget.remaining() == 0 {
+		return h.out.deadline.Sub(h.n.clock.Now()) + time.Hour
 	}
-	return usual
+	return hedgeDelay
 }
 
-// hedge launches a second attempt, paid by the request's account and by the node's share of hedges.
-func (t *try) hedge() {
-	if t.launched > 1 || !t.chooser.takeHedge() || !t.out.account.take() {
+// hedge sends a hedged attempt if both the request's retry budget and the node's hedge budget allow it.
+func (h *hedgedAttempt) hedge() {
+	if h.launchCount > 1 || !h.chooser.takeHedge() || !h.out.budget.take() {
 		return
 	}
-	if t.launch() == call.ReasonNone {
-		t.n.metrics.Add("hedges", 1, t.out.op.Service)
+	if h.launch() == call.ReasonNone {
+		h.n.metrics.Add("hedges", 1, h.out.op.Service)
 	}
 }
 
-// take handles the end of an attempt and reports whether it ends the try.
-func (t *try) take(result attemptResult) (reply, bool) {
-	l := result.try
-	if l.settled {
+// handleResult handles the result of an attempt and reports whether it ends the hedgedAttempt.
+func (h *hedgedAttempt) handleResult(result attemptResult) (reply, bool) {
+	a := result.attempt
+	if a.settled {
 		discard(result.reply)
 		return nil, false
 	}
-	l.settled = true
-	t.pending--
-	t.settleShare(result)
-	t.learn(result.reply)
+	a.settled = true
+	h.pending--
+	h.returnShare(result)
+	h.recordMeta(result.reply)
 	switch r := result.reply.(type) {
 	case answered:
-		t.cancelOthers(l)
+		h.cancelOthers(a)
 		return r, true
-	case refusedWith:
-		t.last = worse(t.last, r.refused)
+	case remoteRefusal:
+		h.last = selectReply(h.last, r.refused)
 	case refused:
-		if t.out.op.NonIdempotent && r.refusal.Outcome == call.OutcomeUnknown {
-			return t.resolve(l, r)
+		if h.out.op.NonIdempotent && r.refusal.Outcome == call.OutcomeUnknown {
+			return h.resolveLost(a, r)
 		}
-		t.last = worse(t.last, r)
+		h.last = selectReply(h.last, r)
 	}
-	return t.last, t.pending == 0
+	return h.last, h.pending == 0
 }
 
-// resolve asks the serving node, over a new connection, what became of a non-idempotent attempt whose answer was lost.
-func (t *try) resolve(l *launched, lost refused) (reply, bool) {
-	for wait := shortestSilence; t.n.clock.Now().Before(t.out.deadline); wait *= 2 {
-		state, err := t.n.askState(l, true)
+// resolveLost queries the serving node, over a new connection, for the state of a non-idempotent attempt whose answer was
+// lost.
+func (h *hedgedAttempt) resolveLost(a *sentAttempt, lost refused) (reply, bool) {
+	for wait := minSilence; h.n.clock.Now().Before(h.out.deadline); wait *= 2 {
+		state, err := h.n.queryState(a, true)
 		switch {
 		case err != nil:
-			// The node may be restarting or out of reach for a moment.
+			// The node may be restarting or temporarily unreachable.
 		case state.Running:
 		case state.Outcome == call.OutcomeNotRun:
 			return refused{refusal(call.ReasonFenced, call.OutcomeNotRun, "")}, true
 		case state.Outcome == call.OutcomeRan && !state.Answer.Truncated:
-			return kept{state.Answer}, true
+			return storedAnswer{state.Answer}, true
 		default:
 			return lost, true
 		}
-		pause := time.NewTimer(min(wait, t.out.deadline.Sub(t.n.clock.Now())))
+		pause := time.NewTimer(min(wait, h.out.deadline.Sub(h.n.clock.Now())))
 		<-pause.C
 	}
 	return lost, true
 }
 
-// takeState handles a serving node's word on an attempt that has been silent.
-func (t *try) takeState(s stateAnswer) (reply, bool) {
-	l := s.try
-	if l.settled || s.err != nil || s.state.Running {
+// handleState handles the queried state of an attempt without a result.
+func (h *hedgedAttempt) handleState(result stateResult) (reply, bool) {
+	a := result.attempt
+	if a.settled || result.err != nil || result.state.Running {
 		return nil, false
 	}
-	switch s.state.Outcome {
+	switch result.state.Outcome {
 	case call.OutcomeNotRun:
-		// The call is lost on its connection, so the other connections of the pool may be silent too.
-		l.peer.renew(l.client)
-		t.n.log.Warn("silent-connection", "peer", l.id, "service", t.out.op.Service)
-		t.n.metrics.Add("silent-connections", 1)
-		t.last = worse(t.last, refused{refusal(call.ReasonFenced, call.OutcomeNotRun, "")})
+		// The request was lost on its connection, so the other connections of the client may be silent too.
+		a.peer.replaceClient(a.client)
+		h.n.log.Warn("silent-connection", "peer", a.id, "service", h.out.op.Service)
+		h.n.metrics.Add("silent-connections", 1)
+		h.last = selectReply(h.last, refused{refusal(call.ReasonFenced, call.OutcomeNotRun, "")})
 	case call.OutcomeRan:
-		if s.state.Answer.Truncated || s.state.Answer.Status == 0 {
+		if result.state.Answer.Truncated || result.state.Answer.Status == 0 {
 			return nil, false
 		}
-		l.peer.renew(l.client)
-		l.settled = true
-		return kept{s.state.Answer}, true
+		a.peer.replaceClient(a.client)
+		a.settled = true
+		return storedAnswer{result.state.Answer}, true
 	default:
-		l.misses++
-		if t.out.op.NonIdempotent || l.misses < missesUntilLost {
+		a.misses++
+		if h.out.op.NonIdempotent || a.misses < maxMisses {
 			return nil, false
 		}
-		l.peer.renew(l.client)
-		t.n.metrics.Add("silent-connections", 1)
-		t.last = worse(t.last, refused{refusal(call.ReasonBackendFailed, call.OutcomeUnknown, "")})
+		a.peer.replaceClient(a.client)
+		h.n.metrics.Add("silent-connections", 1)
+		h.last = selectReply(h.last, refused{refusal(call.ReasonBackendFailed, call.OutcomeUnknown, "")})
 	}
-	l.settled = true
-	t.pending--
-	return t.last, t.pending == 0
+	a.settled = true
+	h.pending--
+	return h.last, h.pending == 0
 }
 
-// cancelAll tells the serving nodes that the caller gave up.
-func (t *try) cancelAll() {
-	for _, l := range t.attempts {
-		t.cancelOne(l)
+// cancelAll notifies the serving nodes that the caller gave up.
+func (h *hedgedAttempt) cancelAll() {
+	for _, a := range h.attempts {
+		h.cancelOne(a)
 	}
 }
 
-func (t *try) cancelOthers(winner *launched) {
-	for _, l := range t.attempts {
-		if l != winner {
-			t.cancelOne(l)
+func (h *hedgedAttempt) cancelOthers(winner *sentAttempt) {
+	for _, a := range h.attempts {
+		if a != winner {
+			h.cancelOne(a)
 		}
 	}
 }
 
-func (t *try) cancelOne(l *launched) {
-	if l.settled {
+func (h *hedgedAttempt) cancelOne(a *sentAttempt) {
+	if a.settled {
 		return
 	}
-	n := t.n
-	n.pool.Submit(func() { n.sendCancel(l) })
+	n := h.n
+	n.pool.Submit(func() { n.sendCancel(a) })
 }
--- a/node/world_test.go
+++ b/node/world_test.go
@@ -27,8 +27,8 @@
 	"lovagelane/settings"
 )
 
-// patience bounds every wait for an event; it is long so that a busy machine does not change a verdict.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait for an event. It is long, so that a busy machine does not make a test fail.
+const waitTimeout = 20 * time.Second
 
 const chainInventory = `[region rn]
 store = yes
@@ -75,39 +75,39 @@
 non-idempotent = yes
 `
 
-// directory stands in for control: it tells every node of every other one at once.
-type directory struct {
+// fakeDirectory replaces control. It publishes every member to every other node at once.
+type fakeDirectory struct {
 	mu      sync.Mutex
 	members map[string]membership.Member
 	nodes   map[string]control.Options
 	config  *inventory.Config
-	// via changes the addresses under which a member is announced.
-	via func(membership.Member) membership.Member
+	// announceAs, if set, changes the addresses under which a member is announced.
+	announceAs func(membership.Member) membership.Member
 }
 
-// memberControl is the directory as one node sees it.
-type memberControl struct {
-	d  *directory
+// fakeControl is the control of one node, backed by the fakeDirectory.
+type fakeControl struct {
+	d  *fakeDirectory
 	id string
 }
 
-func (d *directory) start(_ context.Context, o control.Options) (node.Control, error) {
+func (d *fakeDirectory) start(_ context.Context, o control.Options) (node.Control, error) {
 	d.mu.Lock()
 	if d.nodes == nil {
 		d.nodes, d.members = map[string]control.Options{}, map[string]membership.Member{}
 	}
 	d.nodes[o.Self.ID] = o
 	d.members[o.Self.ID] = o.Self
-	if d.via != nil {
-		d.members[o.Self.ID] = d.via(o.Self)
+	if d.announceAs != nil {
+		d.members[o.Self.ID] = d.announceAs(o.Self)
 	}
 	d.mu.Unlock()
 	o.OnConfig(d.config)
 	d.publish()
-	return memberControl{d, o.Self.ID}, nil
+	return fakeControl{d, o.Self.ID}, nil
 }
 
-func (d *directory) publish() {
+func (d *fakeDirectory) publish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, o := range d.nodes {
@@ -121,11 +121,11 @@
 	}
 }
 
-func (c memberControl) Address() string              { return "" }
-func (c memberControl) Members() []membership.Member { return nil }
-func (c memberControl) PollStore()                   {}
+func (c fakeControl) Address() string              { return "" }
+func (c fakeControl) Members() []membership.Member { return nil }
+func (c fakeControl) PollStore()                   {}
 
-func (c memberControl) SetState(s membership.State) {
+func (c fakeControl) SetState(s membership.State) {
 	c.d.mu.Lock()
 	m := c.d.members[c.id]
 	m.State = s
@@ -134,7 +134,7 @@
 	c.d.publish()
 }
 
-func (c memberControl) SpreadCrash(reports []quarantine.Report) {
+func (c fakeControl) SpreadCrash(reports []quarantine.Report) {
 	c.d.mu.Lock()
 	defer c.d.mu.Unlock()
 	for id, o := range c.d.nodes {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c memberControl) Stop() error {
+func (c fakeControl) Stop() error {
 	c.d.mu.Lock()
 	delete(c.d.nodes, c.id)
 	delete(c.d.members, c.id)
@@ -155,45 +155,45 @@
 	return nil
 }
 
-// world is a deployment in one process: real nodes and backend servers on loopback.
-type world struct {
+// deployment is a deployment in one process, with real nodes and backend servers on loopback.
+type deployment struct {
 	t   testing.TB
 	dir string
-	directory
+	fakeDirectory
 	log bytes.Buffer
 	mu  sync.Mutex
 }
 
-func newWorld(t testing.TB, inv, rules string) *world {
+func newDeployment(t testing.TB, inv, rules string) *deployment {
 	cfg, problems := inventory.Parse([]inventory.File{{Name: "inventory.ini", Text: inv}, {Name: "rules.ini", Text: rules}})
 	require.Empty(t, problems)
-	w := &world{t: t, dir: t.TempDir()}
-	w.config = cfg.WithVersion(1)
-	require.NoError(t, keys.Issue(w.dir))
+	d := &deployment{t: t, dir: t.TempDir()}
+	d.config = cfg.WithVersion(1)
+	require.NoError(t, keys.Issue(d.dir))
 	t.Cleanup(func() {
 		if t.Failed() {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			t.Log(w.log.String())
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			t.Log(d.log.String())
 		}
 	})
-	return w
+	return d
 }
 
-// Write collects the logs of all nodes.
-func (w *world) Write(b []byte) (int, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.log.Write(b)
+// Write appends to the combined log of all nodes.
+func (d *deployment) Write(b []byte) (int, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.log.Write(b)
 }
 
-// handler answers a call as a backend server; call makes an inner call through the own node.
+// handler answers a call as a backend server. The function call makes an inner call through the own node.
 type handler func(ctx *fasthttp.RequestCtx, call func(method, path string, body string) *fasthttp.Response)
 
-// station is a backend server with its node.
-type station struct {
+// instance is a backend server with its node.
+type instance struct {
 	*node.Node
-	w       *world
+	d       *deployment
 	server  *fasthttp.Server
 	ln      net.Listener
 	address string
@@ -203,85 +203,85 @@
 	stopped atomic.Bool
 }
 
-func (w *world) station(service string, h handler) *station {
-	s := &station{w: w}
-	s.serve("127.0.0.1:0", h)
+func (d *deployment) startInstance(service string, h handler) *instance {
+	i := &instance{d: d}
+	i.serve("127.0.0.1:0", h)
 	n, err := node.Start(context.Background(), node.Options{
 		Settings: settings.Node{
-			Service: service, AvailabilityZone: "rn-1", BackendServer: s.address, CallersListen: "127.0.0.1:0",
+			Service: service, AvailabilityZone: "rn-1", BackendServer: i.address, CallersListen: "127.0.0.1:0",
 			BackendListen: "127.0.0.1:0", CallsListen: "127.0.0.1:0", AdminListen: "127.0.0.1:0",
-			Certificate: filepath.Join(w.dir, "node.pem"), Key: filepath.Join(w.dir, "node-key.pem"),
-			Authority: filepath.Join(w.dir, "authority.pem"), TicketKey: filepath.Join(w.dir, "ticket-key"),
+			Certificate: filepath.Join(d.dir, "node.pem"), Key: filepath.Join(d.dir, "node-key.pem"),
+			Authority: filepath.Join(d.dir, "authority.pem"), TicketKey: filepath.Join(d.dir, "ticket-key"),
 		},
-		Log: event.New(w, kernel.SystemClock{}), StartControl: w.start,
+		Log: event.New(d, kernel.SystemClock{}), StartControl: d.start,
 	})
-	require.NoError(w.t, err)
-	s.Node = n
-	s.backend.Store(n.Addresses().Backend)
-	w.t.Cleanup(s.stop)
-	w.eventually("serving", func() bool { return n.Status().BackendServerUp })
-	return s
+	require.NoError(d.t, err)
+	i.Node = n
+	i.backend.Store(n.Addresses().Backend)
+	d.t.Cleanup(i.stop)
+	d.eventually("serving", func() bool { return n.Status().BackendServerUp })
+	return i
 }
 
-// serve starts the backend server, on the same address again after a crash.
-func (s *station) serve(address string, h handler) {
+// serve starts the backend server on an address.
+func (i *instance) serve(address string, h handler) {
 	ln, err := net.Listen("tcp", address)
-	require.NoError(s.w.t, err)
-	s.ln, s.address = ln, ln.Addr().String()
-	s.server = &fasthttp.Server{CloseOnShutdown: true, Handler: func(ctx *fasthttp.RequestCtx) {
+	require.NoError(i.d.t, err)
+	i.ln, i.address = ln, ln.Addr().String()
+	i.server = &fasthttp.Server{CloseOnShutdown: true, Handler: func(ctx *fasthttp.RequestCtx) {
 		switch string(ctx.Path()) {
 		case "/health":
 			return
 		case "/lovagelane/cancel":
-			s.cancels.Add(1)
+			i.cancels.Add(1)
 			return
 		}
-		s.ran.Add(1)
-		h(ctx, func(method, path, body string) *fasthttp.Response { return s.inner(ctx, method, path, body) })
+		i.ran.Add(1)
+		h(ctx, func(method, path, body string) *fasthttp.Response { return i.inner(ctx, method, path, body) })
 	}}
 	group := kernel.NewGroup(context.Background())
-	group.Go("backend-server", func(context.Context) error { return s.server.Serve(ln) })
+	group.Go("backend-server", func(context.Context) error { return i.server.Serve(ln) })
 }
 
-func (s *station) inner(ctx *fasthttp.RequestCtx, method, path, body string) *fasthttp.Response {
+func (i *instance) inner(ctx *fasthttp.RequestCtx, method, path, body string) *fasthttp.Response {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := &fasthttp.Response{}
 	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + s.backend.Load().(string) + path)
+	req.SetRequestURI("http://" + i.backend.Load().(string) + path)
 	req.Header.SetBytesV("Lovagelane-Context", ctx.Request.Header.Peek("Lovagelane-Context"))
 	req.SetBodyString(body)
-	if err := fasthttp.DoTimeout(req, resp, patience); err != nil {
+	if err := fasthttp.DoTimeout(req, resp, waitTimeout); err != nil {
 		resp.SetStatusCode(fasthttp.StatusBadGateway)
 	}
 	return resp
 }
 
-// crash does what the end of the backend server's process does: new connections are refused and open ones break.
-func (s *station) crash(ctx *fasthttp.RequestCtx) {
-	_ = s.ln.Close()
+// crash simulates the end of the backend server's process: new connections are refused and the open one breaks.
+func (i *instance) crash(ctx *fasthttp.RequestCtx) {
+	_ = i.ln.Close()
 	_ = ctx.Conn().Close()
 }
 
-// stop ends the station without a drain.
-func (s *station) stop() {
-	if s.stopped.CompareAndSwap(false, true) {
-		_ = s.Stop()
-		_ = s.server.Shutdown()
+// stop stops the instance without a drain.
+func (i *instance) stop() {
+	if i.stopped.CompareAndSwap(false, true) {
+		_ = i.Stop()
+		_ = i.server.Shutdown()
 	}
 }
 
-// eventually waits for a condition, with a bound that no healthy run comes near.
-func (w *world) eventually(what string, condition func() bool) {
-	w.t.Helper()
-	require.Eventually(w.t, condition, patience, 5*time.Millisecond, what)
+// eventually waits for a condition, for at most waitTimeout.
+func (d *deployment) eventually(what string, condition func() bool) {
+	d.t.Helper()
+	require.Eventually(d.t, condition, waitTimeout, 5*time.Millisecond, what)
 }
 
-// send sends a request from an outside caller.
-func (w *world) send(address, method, path, body string, headers ...string) *fasthttp.Response {
-	w.t.Helper()
+// send sends a request as a caller from outside.
+func (d *deployment) send(address, method, path, body string, headers ...string) *fasthttp.Response {
+	d.t.Helper()
 	resp, err := trySend(address, method, path, body, headers...)
-	require.NoError(w.t, err)
+	require.NoError(d.t, err)
 	return resp
 }
 
@@ -295,7 +295,7 @@
 		req.Header.Set(headers[i], headers[i+1])
 	}
 	req.SetBodyString(body)
-	return resp, fasthttp.DoTimeout(req, resp, patience)
+	return resp, fasthttp.DoTimeout(req, resp, waitTimeout)
 }
 
 func outcome(r *fasthttp.Response) string { return string(r.Header.Peek("Lovagelane-Outcome")) }
@@ -308,8 +308,8 @@
 	}
 }
 
-// through returns a handler that calls the next service and wraps its answer.
-func through(name, method, path string) handler {
+// callThrough returns a handler that calls the next service and wraps its answer.
+func callThrough(name, method, path string) handler {
 	return func(ctx *fasthttp.RequestCtx, call func(string, string, string) *fasthttp.Response) {
 		r := call(method, path, string(ctx.PostBody()))
 		ctx.SetStatusCode(r.StatusCode())
