--- a/node/serving.go
+++ b/node/serving.go
@@ -47,7 +47,7 @@
 func peerRole(ctx *fasthttp.RequestCtx) (keys.Role, error) {
 	state := ctx.TLSConnectionState()
 	if state == nil {
-		return "", Err.New("the peer has no client certificate: use a key of the deployment")
+		return "", Err.New("the peer has no key: use one of the deployment")
 	}
 	return keys.PeerRole(*state)
 }
@@ -81,13 +81,13 @@
 	b, reason := readBody(ctx, maxBufferedBody)
 	message, ok := b.(buffered)
 	if reason != call.ReasonNone || !ok {
-		return q, Err.New("the message body cannot be read: %s", reason)
+		return q, Err.New("the message is not readable: %s", reason)
 	}
 	if err := cbor.Unmarshal(message, &q); err != nil {
 		return q, Err.Wrap(err)
 	}
 	if q.Version != call.MetaVersion || q.Attempt.Sender == "" {
-		return q, Err.New("the version %d or the attempt of the message is not valid: upgrade the older node", q.Version)
+		return q, Err.New("version %d or the attempt is not valid: upgrade the older node", q.Version)
 	}
 	return q, nil
 }
