--- a/node/refusal.go
+++ b/node/refusal.go
@@ -11,7 +11,7 @@
 	"lovagelane/ticket"
 )
 
-// remedies tell a caller what to do about a refusal.
+// remedies maps the reason of a refusal to the advice for the caller.
 var remedies = map[call.Reason]string{
 	call.ReasonShed:            "send it again later: more important requests fill the capacity",
 	call.ReasonQueueFull:       "send it again later: more important requests fill the queue",
@@ -39,8 +39,8 @@
 	ticket.ReasonOtherIncarnation: "send it again later: the backend server was replaced",
 }
 
-// statuses are the HTTP statuses of refusals; a reason that is missing here is answered 503.
-var statuses = map[call.Reason]int{
+// statusCodes maps the reason of a refusal to its HTTP status. Any other reason is answered with 503.
+var statusCodes = map[call.Reason]int{
 	call.ReasonUnknownService: fasthttp.StatusNotFound,
 	call.ReasonTicketRequired: fasthttp.StatusPreconditionRequired,
 	call.ReasonTicketInvalid:  fasthttp.StatusBadRequest,
@@ -56,7 +56,7 @@
 	call.ReasonCancelled:      499,
 }
 
-// refuseUnreadable answers a request that could not be read, so that its caller learns that it did not run.
+// refuseUnreadable answers a request that could not be parsed, so that its caller knows that it did not run.
 func (n *Node) refuseUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	r := refusal(call.ReasonBadRequest, call.OutcomeNotRun, "")
 	var large *fasthttp.ErrSmallBuffer
@@ -81,9 +81,9 @@
 	Remedy  string      `json:"remedy"`
 }
 
-// writeRefusal answers a caller with a refusal.
+// writeRefusal writes a refusal to a caller.
 func writeRefusal(ctx *fasthttp.RequestCtx, r call.Refusal) {
-	status, ok := statuses[r.Reason]
+	status, ok := statusCodes[r.Reason]
 	if !ok {
 		status = fasthttp.StatusServiceUnavailable
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
