--- a/call/doc.go
+++ b/call/doc.go
@@ -1,3 +1,3 @@
-// Package call holds the values that travel with a call between nodes: its priority, deadline, retry allowance and
-// identity on the way in, and its outcome, load report and admission level on the way back.
+// Package call defines the metadata that nodes propagate with a call: priority, deadline, retry allowance and attempt
+// identity with the call, and outcome, load and admission level with the answer.
 package call
--- a/call/meta.go
+++ b/call/meta.go
@@ -13,25 +13,26 @@
 const (
 	// MetaVersion is the version of Meta and AnswerMeta that this code writes and reads.
 	MetaVersion = 1
-	// MaxDepth is the deepest call chain that is carried.
+	// MaxDepth bounds the depth of a call chain.
 	MaxDepth = 32
-	// maxHeader bounds an encoded header, in bytes.
-	maxHeader = 4096
-	// maxRemaining bounds the time that a header may claim is left for a call.
+	// maxHeaderBytes bounds an encoded header.
+	maxHeaderBytes = 4096
+	// maxRemaining bounds the remaining time that a header may state.
 	maxRemaining = time.Hour
 )
 
-// ErrMeta is the class of errors for a malformed header between nodes.
+// ErrMeta is the class of errors for malformed metadata headers.
 var ErrMeta = errs.Class("call header")
 
-// Attempt names one try of a call: the sender's and the receiver's incarnations and a number that grows for that pair.
+// Attempt identifies one attempt of a call by the member ids of the sender's and the receiver's incarnations and a number
+// that increases for that pair.
 type Attempt struct {
 	Sender   string `cbor:"1,keyasint"`
 	Receiver string `cbor:"2,keyasint"`
 	Seq      uint64 `cbor:"3,keyasint"`
 }
 
-// Meta is what a node sends with a call to another node.
+// Meta is the metadata that a node sends with a call to another node.
 type Meta struct {
 	Version       uint8    `cbor:"1,keyasint"`
 	RequestID     string   `cbor:"2,keyasint"`
@@ -46,28 +47,28 @@
 	Digest        uint64   `cbor:"11,keyasint"`
 	Region        string   `cbor:"12,keyasint"`
 	Caller        string   `cbor:"13,keyasint"`
-	// Rule is the file and line that the class came from.
+	// Rule is the file and line of the rule that set the class.
 	Rule string `cbor:"14,keyasint"`
 }
 
-// Remaining returns the time left for the call when it was sent.
+// Remaining returns the time that was left until the deadline when the call was sent.
 func (m Meta) Remaining() time.Duration { return time.Duration(m.RemainingMS) * time.Millisecond }
 
-// Load is a backend server's state as its node sees it.
+// Load is the load of a backend server as observed by its node.
 type Load struct {
 	InFlight uint16 `cbor:"1,keyasint" json:"in-flight"`
 	Limit    uint16 `cbor:"2,keyasint" json:"limit"`
 	Queued   uint16 `cbor:"3,keyasint" json:"queued"`
 }
 
-// AnswerMeta is what a node sends back with the answer to a call.
+// AnswerMeta is the metadata that a node returns with the answer to a call.
 type AnswerMeta struct {
 	Version   uint8   `cbor:"1,keyasint"`
 	Outcome   Outcome `cbor:"2,keyasint"`
 	Reason    Reason  `cbor:"3,keyasint,omitempty"`
 	Rule      string  `cbor:"4,keyasint,omitempty"`
 	Allowance uint8   `cbor:"5,keyasint"`
-	// Level is the most restrictive admission level met by the call and all calls below it.
+	// Level is the most restrictive admission level that applied to the call and its downstream calls.
 	Level     Priority `cbor:"6,keyasint"`
 	Load      Load     `cbor:"7,keyasint"`
 	Crashes   uint8    `cbor:"8,keyasint,omitempty"`
@@ -86,13 +87,13 @@
 	return mode
 }
 
-// Encode returns the header value for m.
+// Encode returns m as a header value.
 func (m Meta) Encode() string {
 	m.Version = MetaVersion
 	return encode(m)
 }
 
-// DecodeMeta reads a header value and checks every field.
+// DecodeMeta decodes a header value and rejects a field that is out of range.
 func DecodeMeta(header []byte) (Meta, error) {
 	var m Meta
 	if err := decode(header, &m); err != nil {
@@ -100,7 +101,7 @@
 	}
 	switch {
 	case m.Version != MetaVersion:
-		return Meta{}, ErrMeta.New("version %d: this node speaks version %d, upgrade the older node", m.Version, MetaVersion)
+		return Meta{}, ErrMeta.New("version %d: this node supports version %d, upgrade the older node", m.Version, MetaVersion)
 	case m.Priority.Rank > MaxRank:
 		return Meta{}, ErrMeta.New("class rank %d is above %d", m.Priority.Rank, MaxRank)
 	case m.Depth > MaxDepth:
@@ -113,20 +114,20 @@
 	return m, nil
 }
 
-// Encode returns the header value for a.
+// Encode returns a as a header value.
 func (a AnswerMeta) Encode() string {
 	a.Version = MetaVersion
 	return encode(a)
 }
 
-// DecodeAnswerMeta reads a header value and checks every field.
+// DecodeAnswerMeta decodes a header value and rejects a field that is out of range.
 func DecodeAnswerMeta(header []byte) (AnswerMeta, error) {
 	var a AnswerMeta
 	if err := decode(header, &a); err != nil {
 		return AnswerMeta{}, err
 	}
 	if a.Version != MetaVersion {
-		return AnswerMeta{}, ErrMeta.New("version %d: this node speaks version %d, upgrade the older node", a.Version, MetaVersion)
+		return AnswerMeta{}, ErrMeta.New("version %d: this node supports version %d, upgrade the older node", a.Version, MetaVersion)
 	}
 	if a.Outcome > OutcomeRan || a.Level.Rank > MaxRank || a.OwnLevel.Rank > MaxRank {
 		return AnswerMeta{}, ErrMeta.New("the outcome or the level is out of range")
@@ -137,27 +138,27 @@
 func encode(v any) string {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // The types above always encode.
+		panic(err) // Unreachable: the types above always encode.
 	}
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-func decode(header []byte, v any) error {
-	if len(header) == 0 || len(header) > maxHeader {
-		return ErrMeta.New("%d bytes, expected 1 to %d", len(header), maxHeader)
+func decode(header []byte, dest any) error {
+	if len(header) == 0 || len(header) > maxHeaderBytes {
+		return ErrMeta.New("%d bytes, expected 1 to %d", len(header), maxHeaderBytes)
 	}
-	b := make([]byte, base64.RawURLEncoding.DecodedLen(len(header)))
-	n, err := base64.RawURLEncoding.Decode(b, header)
+	raw := make([]byte, base64.RawURLEncoding.DecodedLen(len(header)))
+	n, err := base64.RawURLEncoding.Decode(raw, header)
 	if err != nil {
 		return ErrMeta.Wrap(err)
 	}
-	if err := decoder.Unmarshal(b[:n], v); err != nil {
+	if err := decoder.Unmarshal(raw[:n], dest); err != nil {
 		return ErrMeta.Wrap(err)
 	}
 	return nil
 }
 
-// Digest identifies a request by its content.
+// Digest returns a hash of the content of a request.
 func Digest(method, target string, body []byte) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(method)
@@ -168,5 +169,5 @@
 	return h.Sum64()
 }
 
-// DigestKey returns a digest as a key for tables that are keyed by text.
+// DigestKey returns a digest as a hexadecimal string, for tables with string keys.
 func DigestKey(digest uint64) string { return strconv.FormatUint(digest, 16) }
--- a/call/meta_test.go
+++ b/call/meta_test.go
@@ -9,8 +9,8 @@
 	"lovagelane/call"
 )
 
-// Guards against a field of the call header that is lost or changed on the way between nodes.
-func TestMetaSurvivesEncoding(t *testing.T) {
+// Guards against a field of the call header that is lost or changed by encoding and decoding.
+func TestMetaRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := call.Meta{
 			Version:     call.MetaVersion,
@@ -29,7 +29,7 @@
 }
 
 // Guards against a malformed or out-of-range header that is accepted.
-func TestDecodeMetaRefuses(t *testing.T) {
+func TestDecodeMetaRejectsInvalidHeaders(t *testing.T) {
 	good := call.Meta{Attempt: call.Attempt{Sender: "a", Receiver: "b"}}
 	tooDeep, tooLong, noSender := good, good, good
 	tooDeep.Depth = call.MaxDepth + 1
@@ -52,6 +52,7 @@
 	}
 }
 
+// Guards against a header on which a decoder panics, and against an accepted depth above MaxDepth.
 func FuzzDecodeMeta(f *testing.F) {
 	f.Add([]byte(call.Meta{Attempt: call.Attempt{Sender: "a", Receiver: "b"}}.Encode()))
 	f.Add([]byte("AQ"))
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Outcome says whether a call ran on a backend server.
+// Outcome states whether a call ran on a backend server.
 type Outcome uint8
 
 const (
@@ -14,7 +14,7 @@
 	OutcomeRan
 )
 
-// String returns the outcome as it is written in headers.
+// String returns the outcome in the form that headers use.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeNotRun:
@@ -26,7 +26,7 @@
 	}
 }
 
-// Reason is the typed cause of a refusal, as written in headers, logs and metrics.
+// Reason is the cause of a refusal, in the form that headers, logs and metrics use.
 type Reason string
 
 const (
@@ -38,17 +38,17 @@
 	ReasonQueueFull Reason = "queue-full"
 	// ReasonDeadline means that the call cannot finish, or did not finish, before its deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonCancelled means that the caller gave up.
+	// ReasonCancelled means that the caller cancelled the call.
 	ReasonCancelled Reason = "cancelled"
-	// ReasonDraining means that the backend server is leaving.
+	// ReasonDraining means that the backend server is draining and takes no new calls.
 	ReasonDraining Reason = "draining"
-	// ReasonNoBackendServer means that no backend server of the service can be reached.
+	// ReasonNoBackendServer means that no backend server of the service is reachable.
 	ReasonNoBackendServer Reason = "no-backend-server"
 	// ReasonBackendFailed means that the backend server broke the connection or did not answer.
 	ReasonBackendFailed Reason = "backend-failed"
 	// ReasonNoConfiguration means that the node has no configuration in force yet.
 	ReasonNoConfiguration Reason = "no-configuration"
-	// ReasonUnknownService means that the inventory has no such service.
+	// ReasonUnknownService means that the service is not in the inventory.
 	ReasonUnknownService Reason = "unknown-service"
 	// ReasonRetriesSpent means that the request has used its whole retry bound.
 	ReasonRetriesSpent Reason = "retries-spent"
@@ -58,11 +58,11 @@
 	ReasonTicketInvalid Reason = "ticket-invalid"
 	// ReasonTicketExpired means that the ticket is older than its lifetime.
 	ReasonTicketExpired Reason = "ticket-expired"
-	// ReasonOwnerGone means that the node that issued the ticket cannot be reached.
+	// ReasonOwnerGone means that the node that issued the ticket is unreachable or has restarted.
 	ReasonOwnerGone Reason = "owner-gone"
 	// ReasonQuarantined means that the request crashed backend servers before.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonFenced means that the attempt was fenced off before it arrived.
+	// ReasonFenced means that the attempt was fenced before it arrived.
 	ReasonFenced Reason = "fenced"
 	// ReasonBodyTooLarge means that the body exceeds the limit.
 	ReasonBodyTooLarge Reason = "body-too-large"
@@ -72,7 +72,7 @@
 	ReasonTooDeep Reason = "too-deep"
 	// ReasonBadRequest means that a header or the path is malformed.
 	ReasonBadRequest Reason = "bad-request"
-	// ReasonBusy means that a table of the node that bounds its memory is full.
+	// ReasonBusy means that a table of the node is full; its size is bounded to limit the memory of the node.
 	ReasonBusy Reason = "busy"
 )
 
@@ -80,7 +80,7 @@
 type Refusal struct {
 	Reason  Reason
 	Outcome Outcome
-	// Rule is the file and line of the inventory or rules that the limit or class came from, or "learned".
+	// Rule is the file and line in the inventory or the rules that set the limit or class, or "learned".
 	Rule string
 	// Remedy tells the caller or operator what to do.
 	Remedy string
--- a/call/priority.go
+++ b/call/priority.go
@@ -3,13 +3,13 @@
 import "fmt"
 
 const (
-	// MaxRank is the least important class rank that rules may state.
+	// MaxRank is the rank of the least important class that rules may define.
 	MaxRank = 15
-	// FairValues is the number of values given to callers within their fair share; values from FairValues up mark excess.
+	// FairValues is the number of values for callers within their fair share; callers above it get values from FairValues up.
 	FairValues = 128
 )
 
-// Priority orders requests for load shedding: a lower rank, then a lower value, is more important.
+// Priority orders requests for load shedding: the lower rank is more important, and within a rank the lower value.
 type Priority struct {
 	Rank  uint8
 	Value uint8
@@ -18,7 +18,7 @@
 // LeastImportant is the priority that is shed first.
 var LeastImportant = Priority{Rank: MaxRank, Value: 255}
 
-// Key returns a number that is smaller for more important priorities.
+// Key returns a sort key that is lower for more important priorities.
 func (p Priority) Key() uint16 { return uint16(p.Rank)<<8 | uint16(p.Value) }
 
 // PriorityOf returns the priority with the given key.
@@ -26,10 +26,10 @@
 	return Priority{Rank: uint8(key >> 8), Value: uint8(key)}
 }
 
-// AdmittedBy reports whether p is at least as important as the level.
+// AdmittedBy reports whether the admission level admits p, which holds when p is at least as important.
 func (p Priority) AdmittedBy(level Priority) bool { return p.Key() <= level.Key() }
 
-// String returns the rank and the value, as in 2.117.
+// String returns the rank and the value, for example "2.117".
 func (p Priority) String() string { return fmt.Sprintf("%d.%d", p.Rank, p.Value) }
 
 // MoreImportant returns the more important of two priorities.
