--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,3 +1,4 @@
-// Package membership keeps a node's view of all nodes: announcements, incarnations, suspicion, removal, and the rings that
-// decide which node watches which. It does no I/O.
+// Package membership implements a node's view of all members for a gossip protocol: announcements with incarnations,
+// suspicion and refutation, tombstones, a digest for anti-entropy, and the rings that assign which node watches which. It
+// does no I/O.
 package membership
--- a/membership/member.go
+++ b/membership/member.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// State is what a member says of itself.
+// State is the state that a member announces for itself.
 type State string
 
 const (
-	// StateStarting means that the backend server does not take calls yet.
+	// StateStarting means that the backend server does not accept calls yet.
 	StateStarting State = "starting"
-	// StateServing means that the backend server takes calls.
+	// StateServing means that the backend server accepts calls.
 	StateServing State = "serving"
-	// StateDraining means that the backend server takes no new calls.
+	// StateDraining means that the backend server accepts no new calls.
 	StateDraining State = "draining"
-	// StateLeft means that the node has stopped on purpose.
+	// StateLeft means that the node has shut down on purpose.
 	StateLeft State = "left"
 )
 
@@ -25,11 +25,11 @@
 	maxSlots      = 1 << 20
 )
 
-// Member is a node's announcement.
+// Member is the announcement of a node.
 type Member struct {
-	// ID is random for each start of a process, so it names one incarnation.
+	// ID is random for each start of a process, so it identifies one incarnation.
 	ID string `cbor:"1,keyasint" json:"id"`
-	// Counter grows with each announcement of the member; the highest one wins.
+	// Counter increases with each announcement of the member; the announcement with the highest counter wins.
 	Counter          uint64 `cbor:"2,keyasint" json:"counter"`
 	Service          string `cbor:"3,keyasint" json:"service"`
 	Region           string `cbor:"4,keyasint" json:"region"`
@@ -39,11 +39,12 @@
 	Callers          string `cbor:"8,keyasint" json:"callers"`
 	Slots            int    `cbor:"9,keyasint" json:"slots"`
 	State            State  `cbor:"10,keyasint" json:"state"`
-	// Suspected is set by watchers that cannot reach the member; the member refutes it with a higher counter.
+	// Suspected is set by watchers that cannot reach the member; the member refutes the suspicion with a higher counter.
 	Suspected bool `cbor:"11,keyasint,omitempty" json:"suspected,omitempty"`
-	// Dead is set when a suspicion was not refuted in time, or when another member answers at the same address.
+	// Dead is set when a suspicion is not refuted in time, or when another member answers at the address of this one.
 	Dead bool `cbor:"12,keyasint,omitempty" json:"dead,omitempty"`
-	// Started is the start of the process in milliseconds since 1970; of two members at one address the later one counts.
+	// Started is the start time of the process in milliseconds since 1970. Of two members with the same control address,
+	// the one that started later replaces the other.
 	Started int64 `cbor:"13,keyasint,omitempty" json:"started,omitempty"`
 }
 
@@ -64,10 +65,10 @@
 	return false
 }
 
-// gone reports whether the announcement takes its member out of the view.
-func (m Member) gone() bool { return m.Dead || m.State == StateLeft }
+// deadOrLeft reports whether the announcement removes its member from the live members.
+func (m Member) deadOrLeft() bool { return m.Dead || m.State == StateLeft }
 
-func (m Member) doubt() int {
+func (m Member) suspicionRank() int {
 	switch {
 	case m.Dead:
 		return 2
@@ -77,9 +78,10 @@
 	return 0
 }
 
-// compare orders announcements of one id totally, so that merging is taking the maximum: leaving is final, then the
-// counter decides, then doubt. The other fields only break ties between announcements that should not differ.
-func compare(a, b Member) int {
+// compareAnnouncements is a total order on the announcements of one id, so that a merge keeps the maximum. StateLeft is final;
+// then the higher counter wins, then the higher suspicion rank. The other fields only break ties between announcements that
+// should be equal.
+func compareAnnouncements(a, b Member) int {
 	left := func(m Member) int {
 		if m.State == StateLeft {
 			return 1
@@ -89,7 +91,7 @@
 	return cmp.Or(
 		cmp.Compare(left(a), left(b)),
 		cmp.Compare(a.Counter, b.Counter),
-		cmp.Compare(a.doubt(), b.doubt()),
+		cmp.Compare(a.suspicionRank(), b.suspicionRank()),
 		cmp.Compare(a.Started, b.Started),
 		strings.Compare(string(a.State), string(b.State)),
 		strings.Compare(a.Control, b.Control),
--- a/membership/rings.go
+++ b/membership/rings.go
@@ -10,43 +10,43 @@
 
 const (
 	ringCount = 2
-	// LinkNodes is the number of members of a region that hold links to each other region.
+	// LinkNodes is the number of members of a region that maintain links to the other regions.
 	LinkNodes = 4
 )
 
-// salts make the rings and the choice of link nodes independent of each other.
+// salts are hash salts that make the rings and the choice of link nodes independent of each other.
 var salts = [ringCount + 1]string{"ring-0", "ring-1", "links"}
 
-type point struct {
+type ringPoint struct {
 	hash   uint64
 	member *Member
 }
 
-type region struct {
-	rings [ringCount][]point
+type regionRings struct {
+	rings [ringCount][]ringPoint
 	links []Member
 }
 
-// Rings says which member watches which; it never changes.
+// Rings assigns to each member the members that it watches and links to. It is immutable.
 type Rings struct {
-	regions map[string]region
-	names   []string
+	regions     map[string]regionRings
+	regionNames []string
 }
 
-// NewRings arranges the members of each region in two rings and chooses the link nodes, in O(n log n).
+// NewRings builds two hash rings of the members of each region and chooses the link nodes, in O(n log n).
 func NewRings(members []Member) Rings {
 	byRegion := map[string][]Member{}
 	for _, m := range members {
 		byRegion[m.Region] = append(byRegion[m.Region], m)
 	}
-	r := Rings{regions: make(map[string]region, len(byRegion))}
+	r := Rings{regions: make(map[string]regionRings, len(byRegion))}
 	for name, members := range byRegion {
-		r.names = append(r.names, name)
-		var g region
+		r.regionNames = append(r.regionNames, name)
+		var g regionRings
 		for i := range g.rings {
-			g.rings[i] = ordered(salts[i], members)
+			g.rings[i] = sortedPoints(salts[i], members)
 		}
-		for _, p := range ordered(salts[ringCount], members) {
+		for _, p := range sortedPoints(salts[ringCount], members) {
 			if len(g.links) == LinkNodes {
 				break
 			}
@@ -54,17 +54,17 @@
 		}
 		r.regions[name] = g
 	}
-	slices.Sort(r.names)
+	slices.Sort(r.regionNames)
 	return r
 }
 
-// Watched returns the successors of a member on the rings of its region.
+// Watched returns the members that a member watches: its successors on the rings of its region.
 func (r Rings) Watched(m Member) []Member {
 	var watched []Member
 	for i, ring := range r.regions[m.Region].rings {
-		at, _ := slices.BinarySearchFunc(ring, point{hash: position(salts[i], m.ID), member: &m}, comparePoints)
+		index, _ := slices.BinarySearchFunc(ring, ringPoint{hash: ringHash(salts[i], m.ID), member: &m}, compareRingPoints)
 		for step := range ring {
-			next := *ring[(at+step)%len(ring)].member
+			next := *ring[(index+step)%len(ring)].member
 			if next.ID != m.ID {
 				watched = appendNew(watched, next)
 				break
@@ -74,17 +74,17 @@
 	return watched
 }
 
-// HoldsLinks reports whether the member is one of those of its region that hold links.
+// HoldsLinks reports whether the member is a link node of its region.
 func (r Rings) HoldsLinks(m Member) bool {
 	return slices.ContainsFunc(r.regions[m.Region].links, func(l Member) bool { return l.ID == m.ID })
 }
 
-// Links returns the members of other regions to which a member dials a link. The region that comes first by name dials, so
-// that each pair of link nodes has one connection.
+// Links returns the members of other regions to which a member dials a link. Of two regions, the link nodes of the one that
+// sorts first by name dial, so that each pair of link nodes has one connection.
 func (r Rings) Links(m Member) []Member {
 	own := slices.IndexFunc(r.regions[m.Region].links, func(l Member) bool { return l.ID == m.ID })
 	var links []Member
-	for _, name := range r.names {
+	for _, name := range r.regionNames {
 		other := r.regions[name].links
 		if own < 0 || name <= m.Region || len(other) == 0 {
 			continue
@@ -101,20 +101,20 @@
 	return append(list, m)
 }
 
-func ordered(salt string, members []Member) []point {
-	points := make([]point, len(members))
+func sortedPoints(salt string, members []Member) []ringPoint {
+	points := make([]ringPoint, len(members))
 	for i := range members {
-		points[i] = point{hash: position(salt, members[i].ID), member: &members[i]}
+		points[i] = ringPoint{hash: ringHash(salt, members[i].ID), member: &members[i]}
 	}
-	slices.SortFunc(points, comparePoints)
+	slices.SortFunc(points, compareRingPoints)
 	return points
 }
 
-func comparePoints(a, b point) int {
+func compareRingPoints(a, b ringPoint) int {
 	if a.hash != b.hash {
 		return cmp.Compare(a.hash, b.hash)
 	}
 	return strings.Compare(a.member.ID, b.member.ID)
 }
 
-func position(salt, id string) uint64 { return xxhash.Sum64String(salt + "/" + id) }
+func ringHash(salt, id string) uint64 { return xxhash.Sum64String(salt + "/" + id) }
--- a/membership/size_test.go
+++ b/membership/size_test.go
@@ -9,10 +9,10 @@
 	"lovagelane/membership"
 )
 
-// sizes are the target size and a larger one that shows the slope.
-var sizes = []int{590, 2000}
+// memberCounts are the target size and a larger size that shows how the cost grows.
+var memberCounts = []int{590, 2000}
 
-func manyMembers(n int) []membership.Member {
+func testMembers(n int) []membership.Member {
 	members := make([]membership.Member, n)
 	for i := range members {
 		m := member(fmt.Sprintf("%032x", i*7919), 3)
@@ -27,29 +27,29 @@
 
 func address(i, port int) string { return fmt.Sprintf("10.0.%d.%d:%d", i/250, i%250, port) }
 
-func bySize(b *testing.B, f func(b *testing.B, members []membership.Member)) {
-	for _, n := range sizes {
-		members := manyMembers(n)
+func forEachSize(b *testing.B, f func(b *testing.B, members []membership.Member)) {
+	for _, n := range memberCounts {
+		members := testMembers(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) { f(b, members) })
 	}
 }
 
-// BenchmarkViewMemory measures the heap of a view for each member.
+// BenchmarkViewMemory measures the heap bytes per member of a view.
 func BenchmarkViewMemory(b *testing.B) {
-	bySize(b, func(b *testing.B, members []membership.Member) {
+	forEachSize(b, func(b *testing.B, members []membership.Member) {
 		for b.Loop() {
-			before := heap()
+			before := heapBytes()
 			v := membership.NewView(start, members[0])
-			for _, m := range manyMembers(len(members)) {
+			for _, m := range testMembers(len(members)) {
 				v.Merge(start, m)
 			}
-			b.ReportMetric(float64(heap()-before)/float64(len(members)), "B/member")
+			b.ReportMetric(float64(heapBytes()-before)/float64(len(members)), "B/member")
 			runtime.KeepAlive(v)
 		}
 	})
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -57,9 +57,9 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkMerge measures an announcement that changes the view, with the digest that it keeps up to date.
+// BenchmarkMerge measures the merge of an announcement that changes the view, including the update of the digest.
 func BenchmarkMerge(b *testing.B) {
-	bySize(b, func(b *testing.B, members []membership.Member) {
+	forEachSize(b, func(b *testing.B, members []membership.Member) {
 		v := viewOf(members)
 		for i := 0; b.Loop(); i++ {
 			m := members[i%len(members)]
@@ -69,9 +69,9 @@
 	})
 }
 
-// BenchmarkMergeKnown measures an announcement that the view has already, as most flooded copies are.
+// BenchmarkMergeKnown measures the merge of an announcement that is already in the view, as most flooded copies are.
 func BenchmarkMergeKnown(b *testing.B) {
-	bySize(b, func(b *testing.B, members []membership.Member) {
+	forEachSize(b, func(b *testing.B, members []membership.Member) {
 		v := viewOf(members)
 		for i := 0; b.Loop(); i++ {
 			v.Merge(start, members[i%len(members)])
@@ -79,9 +79,9 @@
 	})
 }
 
-// BenchmarkLive measures the list that is built after each change of the view.
+// BenchmarkLive measures the list of live members, which is rebuilt after each change of the view.
 func BenchmarkLive(b *testing.B) {
-	bySize(b, func(b *testing.B, members []membership.Member) {
+	forEachSize(b, func(b *testing.B, members []membership.Member) {
 		v := viewOf(members)
 		for b.Loop() {
 			v.Live()
@@ -89,9 +89,9 @@
 	})
 }
 
-// BenchmarkDiffering measures the answer to a digest that differs in one part.
+// BenchmarkDiffering measures the comparison with a digest that differs in one bucket.
 func BenchmarkDiffering(b *testing.B) {
-	bySize(b, func(b *testing.B, members []membership.Member) {
+	forEachSize(b, func(b *testing.B, members []membership.Member) {
 		v, other := viewOf(members), viewOf(members[1:])
 		d := other.Digest()
 		for b.Loop() {
@@ -100,9 +100,9 @@
 	})
 }
 
-// BenchmarkTick measures the periodic work on a view without suspicions.
+// BenchmarkTick measures a tick of a view without suspicions.
 func BenchmarkTick(b *testing.B) {
-	bySize(b, func(b *testing.B, members []membership.Member) {
+	forEachSize(b, func(b *testing.B, members []membership.Member) {
 		v := viewOf(members)
 		for i := 0; b.Loop(); i++ {
 			v.Tick(start.Add(time.Duration(i)*100*time.Millisecond), false)
@@ -110,18 +110,18 @@
 	})
 }
 
-// BenchmarkRings measures the recomputation after a change of the members.
+// BenchmarkRings measures the rebuild of the rings after a change of the members.
 func BenchmarkRings(b *testing.B) {
-	bySize(b, func(b *testing.B, members []membership.Member) {
+	forEachSize(b, func(b *testing.B, members []membership.Member) {
 		for b.Loop() {
 			membership.NewRings(members)
 		}
 	})
 }
 
-// BenchmarkWatched measures the choice of peers, which each tick of control repeats.
+// BenchmarkWatched measures the selection of peers, which package control repeats in each tick.
 func BenchmarkWatched(b *testing.B) {
-	bySize(b, func(b *testing.B, members []membership.Member) {
+	forEachSize(b, func(b *testing.B, members []membership.Member) {
 		r := membership.NewRings(members)
 		for b.Loop() {
 			r.Watched(members[0])
--- a/membership/view.go
+++ b/membership/view.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// SuspicionTimeout is the time that a suspected member has for its refutation.
+	// SuspicionTimeout is the time within which a suspected member must refute the suspicion.
 	SuspicionTimeout = 5 * time.Second
-	// TombstoneRetention outlasts announcements that are still on their way; a longer partition may bring a dead member
-	// back, which its watchers then remove again.
+	// TombstoneRetention is longer than announcements stay in transit. After a longer partition a dead member can reappear;
+	// its watchers then remove it again.
 	TombstoneRetention = 10 * time.Minute
-	// MaxMembers bounds the view, tombstones included.
+	// MaxMembers bounds the number of entries in the view, including tombstones.
 	MaxMembers = 20_000
-	// DigestBuckets is the number of parts that the digest compares separately, so that a difference costs only the
-	// announcements of one part.
+	// DigestBuckets is the number of buckets that anti-entropy compares separately, so that one difference costs only the
+	// announcements of one bucket.
 	DigestBuckets = 64
 
 	purgeInterval = 10 * time.Second
 )
 
-// Digest summarizes a view; two views with the same live announcements have the same digest.
+// Digest is a hash of the live announcements of a view by bucket. Views with the same live announcements have equal digests.
 type Digest [DigestBuckets]uint64
 
-// Mark is a doubt about one announcement of a member.
+// Mark states that a member is suspected or dead, as of the announcement with the given counter.
 type Mark struct {
 	ID      string `cbor:"1,keyasint"`
 	Counter uint64 `cbor:"2,keyasint"`
@@ -36,94 +36,96 @@
 }
 
 type entry struct {
-	m Member
-	// replaced means that a later member has the same control address.
+	member Member
+	// replaced means that a member that started later has the same control address.
 	replaced bool
-	// since is the time at which this node saw the suspicion or the removal.
-	since time.Time
+	// timerStart is the start of the suspicion timeout or of the tombstone retention.
+	timerStart time.Time
 }
 
-func (e *entry) live() bool { return !e.m.gone() && !e.replaced }
+func (e *entry) live() bool { return !e.member.deadOrLeft() && !e.replaced }
 
-// View is a node's knowledge of all members; its zero value is empty and has no own member. The caller serializes access.
+// View is a node's view of all members; its zero value is empty and has no own member. The caller serializes access to it.
 type View struct {
-	self      Member
-	entries   map[string]*entry
-	byControl map[string][]string
-	suspects  map[string]struct{}
-	digest    Digest
-	liveCount int
-	changes   uint64
-	roster    uint64
-	purgeAt   time.Time
-	retention time.Duration
-	timeout   time.Duration
-}
-
-// NewView returns a view that holds only the own member.
+	self               Member
+	entries            map[string]*entry
+	idsByControl       map[string][]string
+	suspects           map[string]struct{}
+	digest             Digest
+	liveCount          int
+	changeCount        uint64
+	rosterVersion      uint64
+	nextPurge          time.Time
+	tombstoneRetention time.Duration
+	suspicionTimeout   time.Duration
+}
+
+// NewView returns a view that contains only the own member.
 func NewView(now time.Time, self Member) *View {
 	v := &View{self: self}
 	v.Merge(now, self)
 	return v
 }
 
-// SetTimeouts replaces the suspicion timeout and the retention of tombstones.
+// SetTimeouts sets the suspicion timeout and the tombstone retention.
 func (v *View) SetTimeouts(suspicion, retention time.Duration) {
-	v.timeout, v.retention = suspicion, retention
+	v.suspicionTimeout, v.tombstoneRetention = suspicion, retention
 }
 
-// Changes grows with each change of the view.
-func (v *View) Changes() uint64 { return v.changes }
+// Changes returns the number of changes of the view.
+func (v *View) Changes() uint64 { return v.changeCount }
 
-// Roster grows when a member enters or leaves the set of live members or changes its region, which is when the rings change.
-func (v *View) Roster() uint64 { return v.roster }
+// Roster returns a version that increases when the set of live members or the region of a member changes, which is when the
+// rings must be rebuilt.
+func (v *View) Roster() uint64 { return v.rosterVersion }
 
-// Digest returns the digest of the live announcements.
+// Digest returns the digest of the live announcements in the view.
 func (v *View) Digest() Digest { return v.digest }
 
-// Self returns the own announcement.
+// Self returns the announcement of the own member.
 func (v *View) Self() Member { return v.self }
 
-// Merge takes an announcement and reports whether the view changed. Merging is commutative, associative and idempotent as
-// long as the view is not full.
+// Merge merges an announcement into the view and reports whether the view changed. It is commutative, associative and
+// idempotent as long as the view is not full.
 func (v *View) Merge(now time.Time, m Member) bool {
 	if !m.Valid() {
 		return false
 	}
 	m.Suspected = m.Suspected || m.Dead
 	old, known := v.entries[m.ID]
-	if known && compare(m, old.m) <= 0 {
+	if known && compareAnnouncements(m, old.member) <= 0 {
 		return false
 	}
-	if !known && !v.makeRoom() {
+	if !known && !v.ensureCapacity() {
 		return false
 	}
-	v.put(now, m)
+	v.putEntry(now, m)
 	return true
 }
 
-// MergeMark takes a doubt about an announcement that the view holds and reports whether the view changed.
+// MergeMark merges a suspicion or death of a member and reports whether the view changed. A mark has no effect unless the
+// view contains the announcement that it refers to.
 func (v *View) MergeMark(now time.Time, k Mark) bool {
 	e, ok := v.entries[k.ID]
-	if !ok || e.m.Counter != k.Counter {
+	if !ok || e.member.Counter != k.Counter {
 		return false
 	}
-	m := e.m
+	m := e.member
 	m.Suspected = true
 	m.Dead = m.Dead || k.Dead
 	return v.Merge(now, m)
 }
 
-// Suspect records that the member cannot be reached and reports whether that is new.
+// Suspect marks a live member as suspected because it is unreachable, and reports whether the view changed.
 func (v *View) Suspect(now time.Time, id string) bool {
 	e, ok := v.entries[id]
-	return ok && e.live() && v.MergeMark(now, Mark{ID: id, Counter: e.m.Counter})
+	return ok && e.live() && v.MergeMark(now, Mark{ID: id, Counter: e.member.Counter})
 }
 
-// Remove records that another member answers at the address of this one.
+// Remove marks a member as dead because another member answers at its address, and reports whether the view changed.
 func (v *View) Remove(now time.Time, id string) bool {
 	e, ok := v.entries[id]
-	return ok && v.MergeMark(now, Mark{ID: id, Counter: e.m.Counter, Dead: true})
+	return ok && v.MergeMark(now, Mark{ID: id, Counter: e.member.Counter, Dead: true})
 }
 
 // SetState announces a new state of the own member.
@@ -132,18 +134,19 @@
 	v.announce(now)
 }
 
-// SetPlace announces the region and slots of the own member, which a node only learns from the configuration.
+// SetPlace announces the region and slots of the own member, which a node reads from the configuration.
 func (v *View) SetPlace(now time.Time, region string, slots int) {
 	v.self.Region, v.self.Slots = region, slots
 	v.announce(now)
 }
 
-// Refute announces the own member again when the view doubts it, and reports whether it did.
+// Refute announces the own member again with a higher counter while the view has it as suspected, dead or replaced, and
+// reports whether it did.
 func (v *View) Refute(now time.Time) bool {
 	refuted := false
-	for v.doubted() {
-		if w, ok := v.replacement(v.entries[v.self.ID]); ok {
-			v.self.Started = w.Started + 1
+	for v.needsRefutation() {
+		if replacement, ok := v.replacementOf(v.entries[v.self.ID]); ok {
+			v.self.Started = replacement.Started + 1
 		}
 		v.announce(now)
 		refuted = true
@@ -151,52 +154,52 @@
 	return refuted
 }
 
-func (v *View) doubted() bool {
+func (v *View) needsRefutation() bool {
 	e, ok := v.entries[v.self.ID]
-	return ok && e.m.State != StateLeft && (!e.live() || e.m.doubt() > 0)
+	return ok && e.member.State != StateLeft && (!e.live() || e.member.suspicionRank() > 0)
 }
 
 func (v *View) announce(now time.Time) {
 	m := v.self
 	if e, ok := v.entries[m.ID]; ok {
-		m.Counter = max(m.Counter, e.m.Counter)
+		m.Counter = max(m.Counter, e.member.Counter)
 	}
 	m.Counter++
 	v.self = m
 	v.Merge(now, m)
 }
 
-// Tick removes members whose suspicion was not refuted and old tombstones, and returns the ids that were removed. An
-// isolated node cannot hear refutations, so for it the time does not count.
+// Tick marks members as dead whose suspicion timeout has passed, purges old tombstones, and returns the ids of the members
+// that it marked. An isolated node cannot receive refutations, so it restarts the suspicion timeouts.
 func (v *View) Tick(now time.Time, isolated bool) []string {
 	var removed []string
 	for id := range v.suspects {
 		e := v.entries[id]
 		switch {
 		case isolated:
-			e.since = now
-		case now.Sub(e.since) >= cmp.Or(v.timeout, SuspicionTimeout):
-			m := e.m
+			e.timerStart = now
+		case now.Sub(e.timerStart) >= cmp.Or(v.suspicionTimeout, SuspicionTimeout):
+			m := e.member
 			m.Dead = true
-			v.put(now, m)
+			v.putEntry(now, m)
 			removed = append(removed, id)
 		}
 	}
-	if !now.Before(v.purgeAt) {
-		v.purgeAt = now.Add(purgeInterval)
+	if !now.Before(v.nextPurge) {
+		v.nextPurge = now.Add(purgeInterval)
 		v.purge(now)
 	}
 	slices.Sort(removed)
 	return removed
 }
 
-// Get returns what the view holds of an id, also when that member is dead or has left.
+// Get returns the announcement of a member, also when the member is dead, replaced or has left.
 func (v *View) Get(id string) (Member, bool) {
 	e, ok := v.entries[id]
 	if !ok {
 		return Member{}, false
 	}
-	return e.m, true
+	return e.member, true
 }
 
 // IsLive reports whether the id is a live member.
@@ -205,39 +208,39 @@
 	return ok && e.live()
 }
 
-// Len returns the number of live members, the own one included.
+// Len returns the number of live members, including the own one.
 func (v *View) Len() int { return v.liveCount }
 
-// Live returns the live members, the own one included, ordered by id.
+// Live returns the live members, including the own one, ordered by id.
 func (v *View) Live() []Member {
 	members := make([]Member, 0, v.liveCount)
 	for _, e := range v.entries {
 		if e.live() {
-			members = append(members, e.m)
+			members = append(members, e.member)
 		}
 	}
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return members
 }
 
-// Differing returns the live members in the parts in which the other digest differs, and these parts.
+// Differing returns the live members in the buckets in which the other digest differs, and the indexes of these buckets.
 func (v *View) Differing(other Digest) ([]Member, []int) {
-	var parts []int
+	var buckets []int
 	for i := range v.digest {
 		if v.digest[i] != other[i] {
-			parts = append(parts, i)
+			buckets = append(buckets, i)
 		}
 	}
-	return v.InParts(parts), parts
+	return v.InParts(buckets), buckets
 }
 
-// InParts returns the live members of some parts of the digest, ordered by id.
-func (v *View) InParts(parts []int) []Member {
-	if len(parts) == 0 {
+// InParts returns the live members in the given digest buckets, ordered by id.
+func (v *View) InParts(buckets []int) []Member {
+	if len(buckets) == 0 {
 		return nil
 	}
 	var wanted [DigestBuckets]bool
-	for _, i := range parts {
+	for _, i := range buckets {
 		if i >= 0 && i < DigestBuckets {
 			wanted[i] = true
 		}
@@ -245,58 +248,58 @@
 	return slices.DeleteFunc(v.Live(), func(m Member) bool { return !wanted[bucket(m.ID)] })
 }
 
-// Corrections returns the announcements that the sender of m lacks: a later one of the same member, and the member that
-// replaced it.
+// Corrections returns the announcements that supersede m and that its sender therefore lacks: a later one of the same member,
+// and that of the member that replaced it.
 func (v *View) Corrections(m Member) []Member {
 	e, ok := v.entries[m.ID]
 	if !ok {
 		return nil
 	}
-	var later []Member
-	if compare(e.m, m) > 0 {
-		later = append(later, e.m)
+	var corrections []Member
+	if compareAnnouncements(e.member, m) > 0 {
+		corrections = append(corrections, e.member)
 	}
-	if w, ok := v.replacement(e); ok {
-		later = append(later, w)
+	if replacement, ok := v.replacementOf(e); ok {
+		corrections = append(corrections, replacement)
 	}
-	return later
+	return corrections
 }
 
-func (v *View) put(now time.Time, m Member) {
+func (v *View) putEntry(now time.Time, m Member) {
 	if v.entries == nil {
-		v.entries, v.byControl, v.suspects = map[string]*entry{}, map[string][]string{}, map[string]struct{}{}
+		v.entries, v.idsByControl, v.suspects = map[string]*entry{}, map[string][]string{}, map[string]struct{}{}
 	}
 	e, known := v.entries[m.ID]
 	if !known {
 		e = &entry{}
 		v.entries[m.ID] = e
 	}
-	before, region, wasLive := e.m.Control, e.m.Region, known && e.live()
-	v.count(e, known, -1)
-	e.m, e.since = m, now
-	v.count(e, true, 1)
-	v.changes++
-	if wasLive != e.live() || region != m.Region {
-		v.roster++
+	oldControl, oldRegion, wasLive := e.member.Control, e.member.Region, known && e.live()
+	v.addToTotals(e, known, -1)
+	e.member, e.timerStart = m, now
+	v.addToTotals(e, true, 1)
+	v.changeCount++
+	if wasLive != e.live() || oldRegion != m.Region {
+		v.rosterVersion++
 	}
-	if !known || before != m.Control {
-		v.unindex(before, m.ID)
+	if !known || oldControl != m.Control {
+		v.unindex(oldControl, m.ID)
 		if m.Control != "" {
-			v.byControl[m.Control] = append(v.byControl[m.Control], m.ID)
+			v.idsByControl[m.Control] = append(v.idsByControl[m.Control], m.ID)
 		}
 	}
-	v.settle(now, before)
-	v.settle(now, m.Control)
+	v.updateReplaced(now, oldControl)
+	v.updateReplaced(now, m.Control)
 	v.trackSuspect(e)
 }
 
-// settle marks all members at an address but the latest as replaced. Tombstones count too, so that the result does not
-// depend on the order in which announcements arrive.
-func (v *View) settle(now time.Time, control string) {
-	ids := v.byControl[control]
+// updateReplaced marks all members with a control address as replaced, except the one that started last. Tombstones are
+// included, so that the result does not depend on the order in which announcements arrive.
+func (v *View) updateReplaced(now time.Time, control string) {
+	ids := v.idsByControl[control]
 	var latest *entry
 	for _, id := range ids {
-		if e := v.entries[id]; latest == nil || later(e.m, latest.m) {
+		if e := v.entries[id]; latest == nil || startedLater(e.member, latest.member) {
 			latest = e
 		}
 	}
@@ -307,92 +310,93 @@
 			continue
 		}
 		wasLive := e.live()
-		v.count(e, true, -1)
-		e.replaced, e.since = replaced, now
-		v.count(e, true, 1)
+		v.addToTotals(e, true, -1)
+		e.replaced, e.timerStart = replaced, now
+		v.addToTotals(e, true, 1)
 		if wasLive != e.live() {
-			v.roster++
+			v.rosterVersion++
 		}
-		v.changes++
+		v.changeCount++
 		v.trackSuspect(e)
 	}
 }
 
-func later(a, b Member) bool {
+func startedLater(a, b Member) bool {
 	return cmp.Or(cmp.Compare(a.Started, b.Started), strings.Compare(a.ID, b.ID)) > 0
 }
 
-func (v *View) replacement(e *entry) (Member, bool) {
+func (v *View) replacementOf(e *entry) (Member, bool) {
 	if !e.replaced {
 		return Member{}, false
 	}
-	w := e.m
-	for _, id := range v.byControl[e.m.Control] {
-		if m := v.entries[id].m; later(m, w) {
-			w = m
+	latest := e.member
+	for _, id := range v.idsByControl[e.member.Control] {
+		if m := v.entries[id].member; startedLater(m, latest) {
+			latest = m
 		}
 	}
-	return w, w.ID != e.m.ID
+	return latest, latest.ID != e.member.ID
 }
 
 func (v *View) trackSuspect(e *entry) {
-	if e.live() && e.m.Suspected {
-		v.suspects[e.m.ID] = struct{}{}
+	if e.live() && e.member.Suspected {
+		v.suspects[e.member.ID] = struct{}{}
 	} else {
-		delete(v.suspects, e.m.ID)
+		delete(v.suspects, e.member.ID)
 	}
 }
 
-// count adds an entry to the digest and the number of live members, or takes it out with sign -1.
-func (v *View) count(e *entry, known bool, sign int) {
+// addToTotals adds a live entry to the digest and to the number of live members, or removes it with sign -1.
+func (v *View) addToTotals(e *entry, known bool, sign int) {
 	if !known || !e.live() {
 		return
 	}
 	v.liveCount += sign
-	v.digest[bucket(e.m.ID)] ^= fingerprint(e.m)
+	v.digest[bucket(e.member.ID)] ^= fingerprint(e.member)
 }
 
 func (v *View) unindex(control, id string) {
-	ids := slices.DeleteFunc(v.byControl[control], func(other string) bool { return other == id })
+	ids := slices.DeleteFunc(v.idsByControl[control], func(other string) bool { return other == id })
 	if len(ids) == 0 {
-		delete(v.byControl, control)
+		delete(v.idsByControl, control)
 	} else {
-		v.byControl[control] = ids
+		v.idsByControl[control] = ids
 	}
 }
 
-func (v *View) drop(now time.Time, id string) {
+func (v *View) dropEntry(now time.Time, id string) {
 	e := v.entries[id]
-	v.count(e, true, -1)
+	v.addToTotals(e, true, -1)
 	delete(v.entries, id)
 	delete(v.suspects, id)
-	v.unindex(e.m.Control, id)
-	v.settle(now, e.m.Control)
+	v.unindex(e.member.Control, id)
+	v.updateReplaced(now, e.member.Control)
 }
 
 func (v *View) purge(now time.Time) {
 	for id, e := range v.entries {
-		if id != v.self.ID && !e.live() && now.Sub(e.since) >= cmp.Or(v.retention, TombstoneRetention) {
-			v.drop(now, id)
+		if id != v.self.ID && !e.live() && now.Sub(e.timerStart) >= cmp.Or(v.tombstoneRetention, TombstoneRetention) {
+			v.dropEntry(now, id)
 		}
 	}
 }
 
-// makeRoom drops the oldest tombstone of a full view; live members are never dropped for new ones.
-func (v *View) makeRoom() bool {
+// ensureCapacity drops the oldest tombstone of a full view and reports whether another entry fits. Live members are never
+// dropped for new ones.
+func (v *View) ensureCapacity() bool {
 	if len(v.entries) < MaxMembers {
 		return true
 	}
 	var oldest *entry
 	for _, e := range v.entries {
-		if !e.live() && e.m.ID != v.self.ID && (oldest == nil || e.since.Before(oldest.since)) {
+		if !e.live() && e.member.ID != v.self.ID && (oldest == nil || e.timerStart.Before(oldest.timerStart)) {
 			oldest = e
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	v.drop(oldest.since, oldest.m.ID)
+	v.dropEntry(oldest.timerStart, oldest.member.ID)
 	return true
 }
 
@@ -401,6 +405,6 @@
 func fingerprint(m Member) uint64 {
 	b := make([]byte, 0, maxIDBytes+9)
 	b = binary.BigEndian.AppendUint64(b, m.Counter)
-	b = append(b, byte(m.doubt()))
+	b = append(b, byte(m.suspicionRank()))
 	return xxhash.Sum64(append(b, m.ID...))
 }
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -40,7 +40,7 @@
 	return v
 }
 
-func contents(v *membership.View) string {
+func describe(v *membership.View) string {
 	var b strings.Builder
 	for _, id := range []string{"a", "b", "c", "d"} {
 		m, ok := v.Get(id)
@@ -49,7 +49,7 @@
 	return b.String()
 }
 
-// Guards against views that differ by the order, the grouping or the repetition of what was heard.
+// Guards against views that differ because announcements were merged in another order or grouping, or more than once.
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "members")
@@ -57,15 +57,15 @@
 
 		shuffled := rapid.Permutation(members).Draw(t, "shuffled")
 		got := viewOf(shuffled)
-		require.Equal(t, contents(want), contents(got), "order matters")
-		require.Equal(t, want.Digest(), got.Digest(), "the digest is not that of the members")
+		require.Equal(t, describe(want), describe(got), "the view depends on the order of merges")
+		require.Equal(t, want.Digest(), got.Digest(), "the digest depends on the order of merges")
 		require.Equal(t, want.Len(), len(want.Live()))
 
 		for _, m := range members {
 			require.False(t, got.Merge(start, m), "a repeated announcement changed the view")
 		}
 
-		// A view that merges the result of another one equals the view that heard everything itself.
+		// A view that merges the entries of another view equals a view that merged every announcement itself.
 		cut := rapid.IntRange(0, len(members)).Draw(t, "cut")
 		left, right := viewOf(members[:cut]), viewOf(members[cut:])
 		for _, id := range []string{"a", "b", "c", "d"} {
@@ -73,12 +73,12 @@
 				left.Merge(start, m)
 			}
 		}
-		require.Equal(t, contents(want), contents(left), "grouping matters")
+		require.Equal(t, describe(want), describe(left), "the view depends on the grouping of merges")
 	})
 }
 
-// Guards against an own member that is lost for good after others doubted, removed or replaced it.
-func TestRefutationBringsTheMemberBackEverywhere(t *testing.T) {
+// Guards against an own member that stays removed although it refutes, after other nodes suspected, removed or replaced it.
+func TestRefutationRestoresTheMemberInEveryView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		self := member("a", 1)
 		self.Control = "x:1"
@@ -102,8 +102,8 @@
 	})
 }
 
-// Guards against members that are removed too early or never, and against gossip that brings removed ones back.
-func TestSuspicion(t *testing.T) {
+// Guards against members that are removed too early or never, and against removed members that reappear through old gossip.
+func TestSuspicionRefutationAndRemoval(t *testing.T) {
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	steps := []struct {
 		name      string
@@ -111,8 +111,8 @@
 		live      bool
 		suspected bool
 	}{
-		{"unknown doubt has no effect", func(v *membership.View) { v.MergeMark(start, membership.Mark{ID: "z", Counter: 1}) }, true, false},
-		{"doubt about an old announcement has no effect", func(v *membership.View) {
+		{"mark for an unknown member", func(v *membership.View) { v.MergeMark(start, membership.Mark{ID: "z", Counter: 1}) }, true, false},
+		{"mark for an old announcement", func(v *membership.View) {
 			v.Merge(start, member("b", 2))
 			v.MergeMark(start, membership.Mark{ID: "b", Counter: 1})
 		}, true, false},
@@ -120,7 +120,7 @@
 		{"refuted", func(v *membership.View) { v.Suspect(start, "b"); v.Merge(at(time.Second), member("b", 2)) }, true, false},
 		{"within the timeout", func(v *membership.View) { v.Suspect(start, "b"); v.Tick(at(4999*time.Millisecond), false) }, true, true},
 		{"after the timeout", func(v *membership.View) { v.Suspect(start, "b"); v.Tick(at(5*time.Second), false) }, false, true},
-		{"time alone in the dark does not count", func(v *membership.View) {
+		{"the timeout does not run while isolated", func(v *membership.View) {
 			v.Suspect(start, "b")
 			v.Tick(at(time.Hour), true)
 			v.Tick(at(time.Hour+4*time.Second), false)
@@ -162,8 +162,8 @@
 	}
 }
 
-// Guards against tombstones that stay for good, which two nodes could hand to each other forever.
-func TestTombstonesEnd(t *testing.T) {
+// Guards against tombstones that never expire, for example because two nodes send them to each other again and again.
+func TestTombstonesExpire(t *testing.T) {
 	v := membership.NewView(start, member("a", 1))
 	v.Merge(start, member("b", 1))
 	v.Remove(start, "b")
@@ -175,7 +175,7 @@
 	require.False(t, ok)
 }
 
-// Guards against memory that grows with what peers send: too many members, too long fields.
+// Guards against unbounded memory when peers announce too many members or fields that are too long.
 func TestViewIsBounded(t *testing.T) {
 	v := membership.NewView(start, member("a", 1))
 	long := member("b", 1)
@@ -189,11 +189,11 @@
 	}
 	require.Equal(t, membership.MaxMembers, v.Len())
 	_, ok := v.Get("dead")
-	require.False(t, ok, "a tombstone took the place of a live member")
+	require.False(t, ok, "a tombstone was kept instead of a live member")
 }
 
-// Guards against anti-entropy that misses a difference or compares parts that agree.
-func TestDifferingPartsHoldTheDifference(t *testing.T) {
+// Guards against anti-entropy that misses a difference or exchanges buckets that are equal.
+func TestDifferingReturnsTheBucketsThatDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := &membership.View{}, &membership.View{}
 		for i := range rapid.IntRange(1, 100).Draw(t, "members") {
@@ -203,14 +203,14 @@
 		}
 		changed := member(fmt.Sprint(rapid.IntRange(0, 100).Draw(t, "changed")), 2)
 		a.Merge(start, changed)
-		members, parts := a.Differing(b.Digest())
-		require.Len(t, parts, 1)
+		members, buckets := a.Differing(b.Digest())
+		require.Len(t, buckets, 1)
 		require.Contains(t, members, changed)
 	})
 }
 
-// Guards against members that nobody watches, rings that fall into parts, and regions without links.
-func TestRings(t *testing.T) {
+// Guards against members that no other member watches, rings that are not connected, and pairs of regions without links.
+func TestRingsWatchAndLinkAllMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := []string{"ce", "pi", "rn"}
 		var members []membership.Member
@@ -235,8 +235,8 @@
 		}
 		for _, m := range members {
 			require.LessOrEqual(t, watched[m.ID], 2)
-			require.Equal(t, perRegion[m.Region] > 1, watched[m.ID] > 0, "nobody watches a member")
-			require.Equal(t, perRegion[m.Region], reached(rings, m), "the ring falls into parts")
+			require.Equal(t, perRegion[m.Region] > 1, watched[m.ID] > 0, "a member is watched only if its region has others")
+			require.Equal(t, perRegion[m.Region], reachableCount(rings, m), "not all members of the region are reachable")
 		}
 		for i, from := range regions {
 			for _, to := range regions[i+1:] {
@@ -248,7 +248,7 @@
 	})
 }
 
-func reached(rings membership.Rings, from membership.Member) int {
+func reachableCount(rings membership.Rings, from membership.Member) int {
 	seen := map[string]bool{from.ID: true}
 	queue := []membership.Member{from}
 	for len(queue) > 0 {
