--- a/rollout/adopter.go
+++ b/rollout/adopter.go
@@ -8,121 +8,123 @@
 )
 
 const (
-	// ConfirmingPeers is the number of peers that must hold a version before a node puts it in force.
+	// ConfirmingPeers is the number of peers that must have a version before a node puts it in force.
 	ConfirmingPeers = 2
-	// ConfirmTimeout is the time after which a node puts a version in force without confirmation.
+	// ConfirmTimeout is the time after which a node puts a version in force without confirmation by peers.
 	ConfirmTimeout = 2 * time.Second
-	// StartPeers is the number of answers that a node without configuration needs when it cannot read the store.
-	StartPeers = 3
+	// MinStartPeers is the number of peers in the own region that must have reported a version before a node without a
+	// configuration starts while it cannot read the store.
+	MinStartPeers = 3
 )
 
-// Adopter decides when a node puts a configuration version in force; its zero value has none. The caller serializes
+// Adopter decides when a node puts a configuration version in force; its zero value has no version. The caller serializes
 // access to it.
 type Adopter struct {
-	inForce uint64
-	held    uint64
-	since   time.Time
-	// store is the version that the store named, once it has answered.
-	store kernel.Option[uint64]
-	peers map[string]uint64
+	inForce      uint64
+	localVersion uint64
+	localSince   time.Time
+	// storeVersion is the version that is accepted in the store, set once the store has answered.
+	storeVersion kernel.Option[uint64]
+	peerVersions map[string]uint64
 }
 
-// InForce returns the version in force, or 0.
+// InForce returns the version in force, or 0 for none.
 func (a *Adopter) InForce() uint64 { return a.inForce }
 
-// Held returns the highest version whose text the node holds, or 0.
-func (a *Adopter) Held() uint64 { return a.held }
+// Held returns the highest version whose text the node has, or 0 for none.
+func (a *Adopter) Held() uint64 { return a.localVersion }
 
-// Wanted reports whether a version is higher than what the node holds.
-func (a *Adopter) Wanted(version uint64) bool { return version > a.held }
+// Wanted reports whether a version is higher than the highest version whose text the node has.
+func (a *Adopter) Wanted(version uint64) bool { return version > a.localVersion }
 
-// Heard returns the highest version that the store or a present peer named.
+// Heard returns the highest version known from this node, the store and the current peers.
 func (a *Adopter) Heard() uint64 {
-	heard := max(a.held, a.store.Or(0))
-	for _, version := range a.peers {
-		heard = max(heard, version)
+	highest := max(a.localVersion, a.storeVersion.Or(0))
+	for _, version := range a.peerVersions {
+		highest = max(highest, version)
 	}
-	return heard
+	return highest
 }
 
-// Hold records that the node holds the text of a version and reports whether it is a higher one.
+// Hold records that the node has the text of a version, and reports whether the version is higher than before.
 func (a *Adopter) Hold(now time.Time, version uint64) bool {
-	if version <= a.held {
+	if version <= a.localVersion {
 		return false
 	}
-	a.held, a.since = version, now
+	a.localVersion, a.localSince = version, now
 	return true
 }
 
-// StoreSays records the version that the store names as accepted, 0 for none.
+// StoreSays records the version that is accepted in the store, 0 for none.
 func (a *Adopter) StoreSays(version uint64) {
-	a.store = kernel.Some(max(version, a.store.Or(0)))
+	a.storeVersion = kernel.Some(max(version, a.storeVersion.Or(0)))
 }
 
-// PeerSays records the version that a peer holds, 0 for none.
+// PeerSays records the highest version whose text a peer has, 0 for none.
 func (a *Adopter) PeerSays(id string, version uint64) {
-	if a.peers == nil {
-		a.peers = map[string]uint64{}
+	if a.peerVersions == nil {
+		a.peerVersions = map[string]uint64{}
 	}
-	a.peers[id] = max(a.peers[id], version)
+	a.peerVersions[id] = max(a.peerVersions[id], version)
 }
 
-// Forget drops what former members said, so that a version whose only holders are gone does not keep a node from starting.
+// Forget drops the versions of former members, so that a version that only they had does not prevent a node from starting.
 func (a *Adopter) Forget(isMember func(id string) bool) {
-	maps.DeleteFunc(a.peers, func(id string, _ uint64) bool { return !isMember(id) })
+	maps.DeleteFunc(a.peerVersions, func(id string, _ uint64) bool { return !isMember(id) })
 }
 
-// Answered reports whether a peer has said what it holds.
+// Answered reports whether a peer has reported its version.
 func (a *Adopter) Answered(id string) bool {
-	_, ok := a.peers[id]
+	_, ok := a.peerVersions[id]
 	return ok
 }
 
-// PeerHolds returns the version that a peer holds as far as it has said.
-func (a *Adopter) PeerHolds(id string) uint64 { return a.peers[id] }
+// PeerHolds returns the highest version that a peer has reported, or 0 for none.
+func (a *Adopter) PeerHolds(id string) uint64 { return a.peerVersions[id] }
 
-// Adopt puts the held version in force when that is safe and returns it. Region is the set of other members of the own
-// region, and complete says whether it came from a peer or the store rather than from this node alone.
+// Adopt puts the local version in force if that is safe, and returns it. The region lists the other members of the own
+// region; complete reports whether that list came from a peer or the store and not from this node alone.
 func (a *Adopter) Adopt(now time.Time, region []string, complete bool) (uint64, bool) {
-	if a.held <= a.inForce {
+	if a.localVersion <= a.inForce {
 		return 0, false
 	}
-	if a.inForce == 0 && !a.mayStart(region, complete) {
+	if a.inForce == 0 && !a.canAdoptFirst(region, complete) {
 		return 0, false
 	}
-	if a.confirmations() < ConfirmingPeers && now.Sub(a.since) < ConfirmTimeout {
+	if a.confirmations() < ConfirmingPeers && now.Sub(a.localSince) < ConfirmTimeout {
 		return 0, false
 	}
-	a.inForce = a.held
+	a.inForce = a.localVersion
 	return a.inForce, true
 }
 
-// mayStart reports whether an empty node has asked enough others not to start below the version that its region had. Peers
-// that are empty too only count when every known peer has answered, because they cannot tell what was in force.
-func (a *Adopter) mayStart(region []string, complete bool) bool {
-	if a.held < a.Heard() {
+// canAdoptFirst reports whether a node without a configuration has enough answers to rule out that it starts below the version
+// that was in force in its region. Peers without a configuration only count when every known peer has answered, because they
+// do not know what was in force.
+func (a *Adopter) canAdoptFirst(region []string, complete bool) bool {
+	if a.localVersion < a.Heard() {
 		return false
 	}
-	if _, ok := a.store.Get(); ok {
+	if _, ok := a.storeVersion.Get(); ok {
 		return true
 	}
-	answered, holding := 0, 0
+	answered, withVersion := 0, 0
 	for _, id := range region {
-		version, ok := a.peers[id]
+		version, ok := a.peerVersions[id]
 		if ok {
 			answered++
 		}
 		if version > 0 {
-			holding++
+			withVersion++
 		}
 	}
-	return holding >= StartPeers || complete && answered == len(region)
+	return withVersion >= MinStartPeers || complete && answered == len(region)
 }
 
 func (a *Adopter) confirmations() int {
 	n := 0
-	for _, version := range a.peers {
-		if version >= a.held {
+	for _, version := range a.peerVersions {
+		if version >= a.localVersion {
 			n++
 		}
 	}
--- a/rollout/adopter_test.go
+++ b/rollout/adopter_test.go
@@ -12,11 +12,11 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// Guards against a version that takes force before others hold it, never takes force, or is started from below what the
-// region had.
-func TestAdopter(t *testing.T) {
+// Guards against a version that is put in force before other nodes have it or that is never put in force, and against a node
+// that starts with a version below the one that was in force in its region.
+func TestAdopterAdoptsOnlySafeVersions(t *testing.T) {
 	region := []string{"a", "b", "c", "d"}
-	says := func(ids ...string) func(*rollout.Adopter) {
+	reported := func(ids ...string) func(*rollout.Adopter) {
 		return func(a *rollout.Adopter) {
 			for _, id := range ids {
 				a.PeerSays(id, 5)
@@ -31,19 +31,19 @@
 		do       func(a *rollout.Adopter)
 		want     uint64
 	}{
-		{"three of the region answered", region, true, 0, says("a", "b", "c"), 5},
-		{"two of four answered", region, true, time.Hour, says("a", "b"), 0},
-		{"three of another region answered", region, true, time.Hour, says("x", "y", "z"), 0},
-		{"all two known answered", region[:2], true, 0, says("a", "b"), 5},
-		{"the view is not complete yet", region[:2], false, time.Hour, says("a", "b"), 0},
-		{"alone in the region", nil, true, 0, says("x", "y"), 5},
+		{"three of the region answered", region, true, 0, reported("a", "b", "c"), 5},
+		{"two of four answered", region, true, time.Hour, reported("a", "b"), 0},
+		{"three of another region answered", region, true, time.Hour, reported("x", "y", "z"), 0},
+		{"both known peers answered", region[:2], true, 0, reported("a", "b"), 5},
+		{"the view is not complete yet", region[:2], false, time.Hour, reported("a", "b"), 0},
+		{"no other member in the region", nil, true, 0, reported("x", "y"), 5},
 		{"empty peers do not count as three", region, true, time.Hour, func(a *rollout.Adopter) {
-			says("a")(a)
+			reported("a")(a)
 			a.PeerSays("b", 0)
 			a.PeerSays("c", 0)
 		}, 0},
 		{"empty peers count when all answered", region, true, 2 * time.Second, func(a *rollout.Adopter) {
-			says("a")(a)
+			reported("a")(a)
 			for _, id := range region[1:] {
 				a.PeerSays(id, 0)
 			}
@@ -51,17 +51,17 @@
 		{"the store answered", region, false, 2 * time.Second, func(a *rollout.Adopter) { a.StoreSays(5) }, 5},
 		{"the store named a higher version", region, false, time.Hour, func(a *rollout.Adopter) { a.StoreSays(6) }, 0},
 		{"a peer named a higher version", region, true, time.Hour, func(a *rollout.Adopter) {
-			says("a", "b", "c")(a)
+			reported("a", "b", "c")(a)
 			a.PeerSays("d", 6)
 		}, 0},
-		{"the holder of a higher version is gone", region, true, 0, func(a *rollout.Adopter) {
-			says("a", "b", "c")(a)
+		{"the peer with a higher version was removed", region, true, 0, func(a *rollout.Adopter) {
+			reported("a", "b", "c")(a)
 			a.PeerSays("gone", 6)
 			a.Forget(func(id string) bool { return id != "gone" })
 		}, 5},
-		{"one peer holds it, before the timeout", region, false, 1999 * time.Millisecond, func(a *rollout.Adopter) {
+		{"one peer has it, before the timeout", region, false, 1999 * time.Millisecond, func(a *rollout.Adopter) {
 			a.StoreSays(5)
-			says("a")(a)
+			reported("a")(a)
 		}, 0},
 	}
 	for _, c := range cases {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Guards against a configuration that reverts, whatever peers and the store say in whatever order.
+// Guards against a configuration that reverts to a lower version, for any versions and order of reports by peers and the store.
 func TestAdopterNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a rollout.Adopter
@@ -90,7 +90,7 @@
 			case 1:
 				a.StoreSays(version.Draw(t, "stored"))
 			case 2:
-				a.PeerSays(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "peer"), version.Draw(t, "said"))
+				a.PeerSays(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "peer"), version.Draw(t, "reported"))
 			case 3:
 				a.Forget(func(string) bool { return false })
 			}
--- a/rollout/apply.go
+++ b/rollout/apply.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	applyAttempts = 5
-	putAttempts   = 3
-	applyPause    = 100 * time.Millisecond
+	maxTransactAttempts = 5
+	maxPutAttempts      = 3
+	baseBackoff         = 100 * time.Millisecond
 )
 
-// StaleError says that another configuration was accepted since the base version was read.
+// StaleError reports that the base version is not the accepted version, usually because another configuration was accepted
+// in the meantime.
 type StaleError struct {
 	Base uint64
-	// Current is the configuration that is accepted now; its version is 0 when the store holds none.
+	// Current is the accepted configuration; its version is 0 when the store has none.
 	Current Accepted
-	// Since lists the configurations that were accepted after the base, oldest first, as far as they could be read.
+	// Since lists the configurations that were accepted after the base, oldest first. It omits those that could not be read.
 	Since []Accepted
 }
 
-// Error names who changed the configuration and the remedy.
+// Error returns who changed the configuration and the remedy.
 func (e *StaleError) Error() string {
 	if e.Current.Version == 0 {
 		return fmt.Sprintf("not accepted: the store holds no configuration, but the base is version %d: plan again", e.Base)
@@ -38,10 +39,10 @@
 		e.Current.By, e.Current.Version, e.Current.ApplyID, e.Base, e.Current.Version)
 }
 
-// NotAcceptedError says that the store did not take the configuration and nothing changed.
+// NotAcceptedError reports that the store did not accept the configuration and that nothing changed.
 type NotAcceptedError struct{ Cause error }
 
-// Error names the cause.
+// Error returns the message with the cause.
 func (e *NotAcceptedError) Error() string {
 	return fmt.Sprintf("not accepted, nothing changed: %v", e.Cause)
 }
@@ -49,29 +50,29 @@
 // Unwrap returns the cause.
 func (e *NotAcceptedError) Unwrap() error { return e.Cause }
 
-// UnsettledError says that it could not be found out whether the store took the configuration.
-type UnsettledError struct {
+// OutcomeUnknownError reports that it is unknown whether the store accepted the configuration.
+type OutcomeUnknownError struct {
 	ApplyID string
-	// Version is the one that the configuration has if it was accepted.
+	// Version is the version of the configuration if it was accepted.
 	Version uint64
 	Cause   error
 }
 
-// Error names the apply id to look for.
-func (e *UnsettledError) Error() string {
+// Error returns the apply id to look for in the store and the row to look in.
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("unknown whether version %d was accepted (%v): when the store answers again, look for apply id %s in %s/%d",
 		e.Version, e.Cause, e.ApplyID, tablestore.ConfigTable, e.Version)
 }
 
 // Unwrap returns the cause.
-func (e *UnsettledError) Unwrap() error { return e.Cause }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// Current returns the accepted configuration and whether there is one.
+// Current returns the accepted configuration, and false if there is none.
 func Current(ctx context.Context, store tablestore.Store) (Accepted, bool, error) {
 	return readAccepted(ctx, store, tablestore.CurrentKey)
 }
 
-// Version returns a configuration of the history and whether that version was accepted.
+// Version returns a configuration from the history, and false if that version was never accepted.
 func Version(ctx context.Context, store tablestore.Store, version uint64) (Accepted, bool, error) {
 	return readAccepted(ctx, store, versionKey(version))
 }
@@ -83,38 +84,38 @@
 	if err != nil || !ok {
 		return Accepted{}, false, err
 	}
-	a, err := ReadRow(row)
+	a, err := ParseRow(row)
 	return a, err == nil, err
 }
 
-// Apply stores the files and makes them the accepted configuration if base is still the accepted version. It fails with
-// *StaleError, *NotAcceptedError or *UnsettledError.
-func Apply(ctx context.Context, store tablestore.Store, files []inventory.File, who string, base uint64) (Accepted, error) {
+// Apply stores the files and makes them the accepted configuration if base is still the accepted version. It returns a
+// *StaleError, *NotAcceptedError or *OutcomeUnknownError on failure.
+func Apply(ctx context.Context, store tablestore.Store, files []inventory.File, operator string, base uint64) (Accepted, error) {
 	text, err := Encode(files)
 	if err != nil {
 		return Accepted{}, &NotAcceptedError{Cause: err}
 	}
-	want := Accepted{Version: base + 1, Hash: Hash(text), ApplyID: rand.Text(), By: who}
+	want := Accepted{Version: base + 1, Hash: Hash(text), ApplyID: rand.Text(), By: operator}
 	if err := putText(ctx, store, want.Hash, text); err != nil {
 		return Accepted{}, &NotAcceptedError{Cause: err}
 	}
-	writes, err := acceptance(want)
+	writes, err := acceptanceWrites(want)
 	if err != nil {
 		return Accepted{}, &NotAcceptedError{Cause: err}
 	}
-	return (&applier{store: store, want: want, writes: writes}).run(ctx)
+	return (&applier{store: store, want: want, writes: writes}).transact(ctx)
 }
 
-// putText repeats a failed write, which is harmless because the name is the hash of the content.
+// putText retries a failed write with backoff. The write is idempotent because the name is the hash of the content.
 func putText(ctx context.Context, store tablestore.Store, hash string, text []byte) error {
 	err := store.PutObject(ctx, hash, text)
-	for attempt := 1; err != nil && attempt < putAttempts && pause(ctx, applyPause<<attempt); attempt++ {
+	for attempt := 1; err != nil && attempt < maxPutAttempts && sleep(ctx, baseBackoff<<attempt); attempt++ {
 		err = store.PutObject(ctx, hash, text)
 	}
 	return err
 }
 
-func acceptance(want Accepted) ([]tablestore.Write, error) {
+func acceptanceWrites(want Accepted) ([]tablestore.Write, error) {
 	value, err := json.Marshal(want)
 	if err != nil {
 		return nil, err
@@ -129,16 +130,16 @@
 	store  tablestore.Store
 	want   Accepted
 	writes []tablestore.Write
-	// lost means that a transaction may have taken effect without an answer.
-	lost bool
+	// outcomeUnknown means that a transaction got no answer and may have taken effect.
+	outcomeUnknown bool
 }
 
-// run repeats the transaction until its result is known. Repeating is safe because both conditions allow one success,
-// and it is needed because a delayed write can still take effect after a re-read that did not find it.
-func (a *applier) run(ctx context.Context) (Accepted, error) {
+// transact retries the transaction until its outcome is known. Retries are safe because the two version conditions allow
+// only one success. They are necessary because a delayed write can take effect after a re-read that did not find it.
+func (a *applier) transact(ctx context.Context) (Accepted, error) {
 	var err error
-	for attempt := range applyAttempts {
-		if attempt > 0 && !pause(ctx, applyPause<<attempt) {
+	for attempt := range maxTransactAttempts {
+		if attempt > 0 && !sleep(ctx, baseBackoff<<attempt) {
 			break
 		}
 		_, err = a.store.Transact(ctx, tablestore.ConfigTable, a.writes)
@@ -148,24 +149,24 @@
 		case err == nil:
 			return a.want, nil
 		case errors.As(err, &unknown):
-			a.lost = true
-		case !errors.As(err, &conflict) && !a.lost:
+			a.outcomeUnknown = true
+		case !errors.As(err, &conflict) && !a.outcomeUnknown:
 			return Accepted{}, &NotAcceptedError{Cause: err}
 		}
-		accepted, settled, settleErr := a.settle(ctx, conflict)
-		if settled {
-			return accepted, settleErr
+		accepted, resolved, resolveErr := a.resolveOutcome(ctx, conflict)
+		if resolved {
+			return accepted, resolveErr
 		}
-		err = errors.Join(err, settleErr)
+		err = errors.Join(err, resolveErr)
 	}
-	if !a.lost {
+	if !a.outcomeUnknown {
 		return Accepted{}, &NotAcceptedError{Cause: err}
 	}
-	return Accepted{}, &UnsettledError{ApplyID: a.want.ApplyID, Version: a.want.Version, Cause: err}
+	return Accepted{}, &OutcomeUnknownError{ApplyID: a.want.ApplyID, Version: a.want.Version, Cause: err}
 }
 
-// settle looks for the apply id in the current row and in the history row.
-func (a *applier) settle(ctx context.Context, conflict *tablestore.ConflictError) (Accepted, bool, error) {
+// resolveOutcome looks for the apply id in the current row and in the history row, and reports whether the outcome is known.
+func (a *applier) resolveOutcome(ctx context.Context, conflict *tablestore.ConflictError) (Accepted, bool, error) {
 	current, _, err := Current(ctx, a.store)
 	if err != nil {
 		return Accepted{}, false, err
@@ -173,28 +174,28 @@
 	if current.ApplyID == a.want.ApplyID {
 		return a.want, true, nil
 	}
-	own, found, err := Version(ctx, a.store, a.want.Version)
+	written, found, err := Version(ctx, a.store, a.want.Version)
 	if err != nil {
 		return Accepted{}, false, err
 	}
-	if found && own.ApplyID == a.want.ApplyID {
+	if found && written.ApplyID == a.want.ApplyID {
 		return a.want, true, nil
 	}
 	if conflict == nil && !found && current.Version == a.want.Version-1 {
 		return Accepted{}, false, errors.New("the apply id is not in the store yet")
 	}
 	stale := &StaleError{Base: a.want.Version - 1, Current: current}
-	for v := a.want.Version; v <= current.Version && len(stale.Since) < maxHistory; v++ {
-		if between, ok, err := Version(ctx, a.store, v); err == nil && ok {
-			stale.Since = append(stale.Since, between)
+	for v := a.want.Version; v <= current.Version && len(stale.Since) < maxListedConflicts; v++ {
+		if accepted, ok, err := Version(ctx, a.store, v); err == nil && ok {
+			stale.Since = append(stale.Since, accepted)
 		}
 	}
 	return Accepted{}, true, stale
 }
 
-const maxHistory = 10
+const maxListedConflicts = 10
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/rollout/apply_test.go
+++ b/rollout/apply_test.go
@@ -13,42 +13,42 @@
 )
 
 var (
-	errDown = &tablestore.UnavailableError{Cause: errors.New("503")}
-	errLost = &tablestore.UnknownError{Cause: errors.New("timeout")}
-	files   = []inventory.File{{Name: "inventory.ini", Text: "[region rn]"}}
+	errUnavailable = &tablestore.UnavailableError{Cause: errors.New("503")}
+	errUnknown     = &tablestore.UnknownError{Cause: errors.New("timeout")}
+	files          = []inventory.File{{Name: "inventory.ini", Text: "[region rn]"}}
 )
 
-// fault is what happens to one transaction or read of the fake store.
+// fault is the fault that the fake store injects into one operation.
 type fault int
 
 const (
-	none fault = iota
+	noFault fault = iota
 	down
-	// lost takes effect without an answer, dropped has no effect and no answer.
-	lost
-	dropped
-	// delayed takes effect when the next transaction arrives.
-	delayed
+	// answerLost means that the write takes effect without an answer, requestDropped that it has no effect and no answer.
+	answerLost
+	requestDropped
+	// writeDelayed means that the write takes effect when the next transaction arrives.
+	writeDelayed
 )
 
-// fakeStore holds the config table in memory and meets its calls with planned faults.
+// fakeStore keeps the config table in memory and injects the planned faults.
 type fakeStore struct {
-	rows       map[string]tablestore.Row
-	objects    map[string][]byte
-	transacts  []fault
-	reads      []fault
-	puts       []fault
-	waiting    []tablestore.Write
-	beforeRead func()
+	rows          map[string]tablestore.Row
+	objects       map[string][]byte
+	txFaults      []fault
+	readFaults    []fault
+	putFaults     []fault
+	delayedWrites []tablestore.Write
+	beforeRead    func()
 }
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{rows: map[string]tablestore.Row{}, objects: map[string][]byte{}}
 }
 
-func next(plan *[]fault) fault {
+func popFault(plan *[]fault) fault {
 	if len(*plan) == 0 {
-		return none
+		return noFault
 	}
 	f := (*plan)[0]
 	*plan = (*plan)[1:]
@@ -61,8 +61,8 @@
 		s.beforeRead = nil
 		do()
 	}
-	if next(&s.reads) == down {
-		return tablestore.Row{}, false, errDown
+	if popFault(&s.readFaults) == down {
+		return tablestore.Row{}, false, errUnavailable
 	}
 	row, ok := s.rows[key]
 	return row, ok, nil
@@ -85,28 +85,28 @@
 }
 
 func (s *fakeStore) Transact(_ context.Context, _ string, writes []tablestore.Write) (tablestore.Commit, error) {
-	if s.waiting != nil {
-		_ = s.commit(s.waiting)
-		s.waiting = nil
+	if s.delayedWrites != nil {
+		_ = s.commit(s.delayedWrites)
+		s.delayedWrites = nil
 	}
-	switch next(&s.transacts) {
+	switch popFault(&s.txFaults) {
 	case down:
-		return tablestore.Commit{}, errDown
-	case lost:
+		return tablestore.Commit{}, errUnavailable
+	case answerLost:
 		_ = s.commit(writes)
-		return tablestore.Commit{}, errLost
-	case dropped:
-		return tablestore.Commit{}, errLost
-	case delayed:
-		s.waiting = writes
-		return tablestore.Commit{}, errLost
+		return tablestore.Commit{}, errUnknown
+	case requestDropped:
+		return tablestore.Commit{}, errUnknown
+	case writeDelayed:
+		s.delayedWrites = writes
+		return tablestore.Commit{}, errUnknown
 	}
 	return tablestore.Commit{}, s.commit(writes)
 }
 
 func (s *fakeStore) PutObject(_ context.Context, name string, data []byte) error {
-	if next(&s.puts) == down {
-		return errDown
+	if popFault(&s.putFaults) == down {
+		return errUnavailable
 	}
 	s.objects[name] = data
 	return nil
@@ -117,46 +117,47 @@
 	return data, ok, nil
 }
 
-func applied(t *testing.T, s *fakeStore, who string, base uint64) {
+func mustApply(t *testing.T, s *fakeStore, operator string, base uint64) {
 	t.Helper()
-	_, err := rollout.Apply(t.Context(), s, files, who, base)
+	_, err := rollout.Apply(t.Context(), s, files, operator, base)
 	require.NoError(t, err)
 }
 
-// Guards against an operator who is told that a configuration was accepted when it was not, or the reverse.
-func TestApply(t *testing.T) {
+// Guards against an apply that reports a configuration as accepted when it was not, or the reverse, when the store fails,
+// loses answers or delays writes, or another operator applies at the same time.
+func TestApplyReportsTheOutcome(t *testing.T) {
 	allDown := []fault{down, down, down, down, down, down, down, down, down, down, down}
 	cases := []struct {
 		name    string
 		prepare func(t *testing.T, s *fakeStore)
 		base    uint64
 		want    string
-		// current is the version that the store holds afterwards.
+		// current is the accepted version in the store afterwards.
 		current uint64
 	}{
 		{"first", func(*testing.T, *fakeStore) {}, 0, "accepted", 1},
-		{"second", func(t *testing.T, s *fakeStore) { applied(t, s, "ana", 0) }, 1, "accepted", 2},
-		{"another operator was first", func(t *testing.T, s *fakeStore) { applied(t, s, "ana", 0) }, 0, "stale", 1},
+		{"second", func(t *testing.T, s *fakeStore) { mustApply(t, s, "ana", 0) }, 1, "accepted", 2},
+		{"another operator was first", func(t *testing.T, s *fakeStore) { mustApply(t, s, "ana", 0) }, 0, "stale", 1},
 		{"the base is ahead of the store", func(*testing.T, *fakeStore) {}, 3, "stale", 0},
-		{"objects down", func(_ *testing.T, s *fakeStore) { s.puts = allDown }, 0, "not accepted", 0},
-		{"tables down", func(_ *testing.T, s *fakeStore) { s.transacts = allDown }, 0, "not accepted", 0},
-		{"answer lost", func(_ *testing.T, s *fakeStore) { s.transacts = []fault{lost} }, 0, "accepted", 1},
-		{"write dropped", func(_ *testing.T, s *fakeStore) { s.transacts = []fault{dropped} }, 0, "accepted", 1},
-		{"write delayed past the re-read", func(_ *testing.T, s *fakeStore) { s.transacts = []fault{delayed} }, 0, "accepted", 1},
+		{"objects down", func(_ *testing.T, s *fakeStore) { s.putFaults = allDown }, 0, "not accepted", 0},
+		{"tables down", func(_ *testing.T, s *fakeStore) { s.txFaults = allDown }, 0, "not accepted", 0},
+		{"answer lost", func(_ *testing.T, s *fakeStore) { s.txFaults = []fault{answerLost} }, 0, "accepted", 1},
+		{"write dropped", func(_ *testing.T, s *fakeStore) { s.txFaults = []fault{requestDropped} }, 0, "accepted", 1},
+		{"write delayed past the re-read", func(_ *testing.T, s *fakeStore) { s.txFaults = []fault{writeDelayed} }, 0, "accepted", 1},
 		{"answer lost, then a second operator", func(t *testing.T, s *fakeStore) {
-			s.transacts = []fault{lost}
-			s.beforeRead = func() { applied(t, s, "ana", 1) }
+			s.txFaults = []fault{answerLost}
+			s.beforeRead = func() { mustApply(t, s, "ana", 1) }
 		}, 0, "accepted", 2},
 		{"write dropped, then a second operator", func(t *testing.T, s *fakeStore) {
-			s.transacts = []fault{dropped}
-			s.beforeRead = func() { applied(t, s, "ana", 0) }
+			s.txFaults = []fault{requestDropped}
+			s.beforeRead = func() { mustApply(t, s, "ana", 0) }
 		}, 0, "stale", 1},
 		{"answer lost, then an outage", func(_ *testing.T, s *fakeStore) {
-			s.transacts, s.reads = append([]fault{lost}, allDown...), allDown
+			s.txFaults, s.readFaults = append([]fault{answerLost}, allDown...), allDown
 		}, 0, "unknown", 1},
 		{"conflict, then an outage", func(t *testing.T, s *fakeStore) {
-			applied(t, s, "ana", 0)
-			s.reads = allDown
+			mustApply(t, s, "ana", 0)
+			s.readFaults = allDown
 		}, 0, "not accepted", 1},
 	}
 	for _, c := range cases {
@@ -165,7 +166,7 @@
 			s := newFakeStore()
 			c.prepare(t, s)
 			accepted, err := rollout.Apply(t.Context(), s, files, "davi", c.base)
-			require.Equal(t, c.want, verdict(err), "%v", err)
+			require.Equal(t, c.want, applyResult(err), "%v", err)
 			require.Equal(t, c.current, s.rows[tablestore.CurrentKey].Version)
 			if c.want != "accepted" {
 				return
@@ -182,10 +183,10 @@
 	}
 }
 
-func verdict(err error) string {
+func applyResult(err error) string {
 	var stale *rollout.StaleError
 	var not *rollout.NotAcceptedError
-	var unsettled *rollout.UnsettledError
+	var unknown *rollout.OutcomeUnknownError
 	switch {
 	case err == nil:
 		return "accepted"
@@ -193,17 +194,17 @@
 		return "stale"
 	case errors.As(err, &not):
 		return "not accepted"
-	case errors.As(err, &unsettled):
+	case errors.As(err, &unknown):
 		return "unknown"
 	}
 	return err.Error()
 }
 
-// Guards against a second operator who is not told whose change they would overwrite.
+// Guards against a stale apply whose error does not name the operator and the changes that it would overwrite.
 func TestApplyNamesTheOtherOperator(t *testing.T) {
 	s := newFakeStore()
-	applied(t, s, "ana", 0)
-	applied(t, s, "rui", 1)
+	mustApply(t, s, "ana", 0)
+	mustApply(t, s, "rui", 1)
 	_, err := rollout.Apply(t.Context(), s, files, "davi", 0)
 	require.ErrorContains(t, err, "rui applied version 2")
 	var stale *rollout.StaleError
@@ -212,7 +213,7 @@
 	require.Equal(t, "ana", stale.Since[0].By)
 }
 
-// Guards against a text that no frame can carry.
+// Guards against a text that is too large for a control frame.
 func TestTextIsBounded(t *testing.T) {
 	big := []inventory.File{{Name: "inventory.ini", Text: string(make([]byte, rollout.MaxTextBytes))}}
 	_, err := rollout.Apply(t.Context(), newFakeStore(), big, "davi", 0)
@@ -221,14 +222,14 @@
 	require.ErrorIs(t, err, rollout.ErrTextTooLarge)
 }
 
-// Guards against a current row that was not written by apply and would give a version that the store never counted.
-func TestReadRowChecksTheVersion(t *testing.T) {
+// Guards against accepting a current row that was not written by apply and whose version differs from the row version.
+func TestParseRowChecksTheVersion(t *testing.T) {
 	s := newFakeStore()
-	applied(t, s, "ana", 0)
+	mustApply(t, s, "ana", 0)
 	row := s.rows[tablestore.CurrentKey]
-	_, err := rollout.ReadRow(row)
+	_, err := rollout.ParseRow(row)
 	require.NoError(t, err)
 	row.Version = 7
-	_, err = rollout.ReadRow(row)
+	_, err = rollout.ParseRow(row)
 	require.ErrorContains(t, err, "names version 1 but is at version 7")
 }
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,3 +1,3 @@
-// Package rollout decides which configuration version a node puts in force, and carries out an operator's apply against
-// the store.
+// Package rollout decides when a node puts a configuration version in force, and implements an operator's apply as a
+// conditional transaction on the store.
 package rollout
--- a/rollout/size_test.go
+++ b/rollout/size_test.go
@@ -13,9 +13,9 @@
 	"lovagelane/testbed"
 )
 
-// targetFiles are an inventory of 590 backend servers in 37 services over five availability zones, and rules with four
-// request kinds and an objective for each service.
-func targetFiles() []inventory.File {
+// targetSizeFiles returns an inventory of the target size, 590 backend servers in 37 services over five availability zones,
+// and rules with four request kinds and an objective for each service.
+func targetSizeFiles() []inventory.File {
 	var services []testbed.Service
 	var rules strings.Builder
 	for rank := 1; rank <= 8; rank++ {
@@ -27,7 +27,7 @@
 		for j := range 590 / 37 {
 			s.Zones = append(s.Zones, []string{"rn-1", "rn-2", "rn-3", "ce-1", "ce-2"}[j%5])
 		}
-		// Steps of three keep the deepest chain at 13 calls.
+		// Steps of three limit the deepest call chain to 13 calls.
 		for next := i + 3; next <= min(i+9, 36); next += 3 {
 			s.Calls = append(s.Calls, fmt.Sprintf("service-%d", next))
 		}
@@ -41,9 +41,10 @@
 	return []inventory.File{{Name: "inventory.ini", Text: testbed.Inventory(services)}, {Name: "rules.ini", Text: rules.String()}}
 }
 
-// BenchmarkTargetText measures the text of a configuration of the target size: its bytes and the time to read it.
+// BenchmarkTargetText measures the size of the text of a configuration of the target size, and the time to decode and parse
+// it.
 func BenchmarkTargetText(b *testing.B) {
-	text, err := rollout.Encode(targetFiles())
+	text, err := rollout.Encode(targetSizeFiles())
 	require.NoError(b, err)
 	for b.Loop() {
 		files, err := rollout.Decode(text)
--- a/rollout/standin_test.go
+++ b/rollout/standin_test.go
@@ -14,7 +14,8 @@
 	"lovagelane/tablestore"
 )
 
-// Guards against a client and a stand-in that read the protocol differently, with the faults that the stand-in can show.
+// Guards against a store client and a stand-in that implement the store protocol differently, also under the faults that the
+// stand-in can inject.
 func TestApplyAgainstTheStandIn(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -28,7 +29,7 @@
 
 	apply := func(base uint64) string {
 		_, err := rollout.Apply(t.Context(), store, files, "davi", base)
-		return verdict(err)
+		return applyResult(err)
 	}
 	_, ok, err := rollout.Current(t.Context(), store)
 	require.NoError(t, err)
@@ -37,7 +38,7 @@
 	require.Equal(t, "stale", apply(0))
 	p.SetFaults(standin.PlatformFaults{Down: ptr(true)})
 	require.Equal(t, "not accepted", apply(1))
-	// The first write is that of the object, the table's transaction follows.
+	// The lost answer is that of the first write, which puts the object; the table transaction follows.
 	p.SetFaults(standin.PlatformFaults{Down: ptr(false), LoseAnswers: ptr(1)})
 	require.Equal(t, "accepted", apply(1))
 	current, ok, err := rollout.Current(t.Context(), store)
@@ -63,7 +64,7 @@
 	require.ErrorAs(t, err, &unknown)
 	_, ok, err = store.Row(t.Context(), tablestore.MembersTable, "b")
 	require.NoError(t, err)
-	require.True(t, ok, "the write took effect")
+	require.True(t, ok, "a write without an answer took effect")
 }
 
 func ptr[T any](v T) *T { return &v }
--- a/rollout/text.go
+++ b/rollout/text.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// MaxTextBytes bounds the encoded text of a configuration.
+	// MaxTextBytes bounds the encoded form of a configuration.
 	MaxTextBytes = 256 << 10
 
 	maxFiles = 64
 )
 
-// ErrTextTooLarge says that a configuration does not fit a frame.
+// ErrTextTooLarge reports that an encoded configuration does not fit a control frame.
 var ErrTextTooLarge = errors.New("the configuration is larger than 256 KB: split the inventory into two deployments")
 
 var textDecoder = func() cbor.DecMode {
@@ -31,7 +31,7 @@
 	return mode
 }()
 
-// Encode returns the text of a configuration as it is stored and sent.
+// Encode returns the text of a configuration, the encoded form that is stored and sent.
 func Encode(files []inventory.File) ([]byte, error) {
 	text, err := cbor.Marshal(files)
 	if err != nil {
@@ -43,35 +43,35 @@
 	return text, nil
 }
 
-// Decode returns the files of a configuration's text.
+// Decode returns the files in the text of a configuration.
 func Decode(text []byte) ([]inventory.File, error) {
 	if len(text) > MaxTextBytes {
 		return nil, ErrTextTooLarge
 	}
 	var files []inventory.File
 	if err := textDecoder.Unmarshal(text, &files); err != nil {
-		return nil, fmt.Errorf("the configuration's text cannot be decoded: %w", err)
+		return nil, fmt.Errorf("cannot decode the configuration text: %w", err)
 	}
 	return files, nil
 }
 
-// Hash returns the name under which a text is stored.
+// Hash returns the SHA-256 hash of a text in hexadecimal, which is the name of its object in the store.
 func Hash(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// Accepted is what the store says of an accepted configuration.
+// Accepted identifies an accepted configuration in the store.
 type Accepted struct {
 	Version uint64 `json:"version"`
 	Hash    string `json:"hash"`
-	// ApplyID is random for each apply, so that a lost answer can be settled.
+	// ApplyID is random for each apply, so that a re-read can show whether a transaction without an answer took effect.
 	ApplyID string `json:"apply-id"`
 	By      string `json:"by"`
 }
 
-// ReadRow returns the configuration that a row of the config table names.
-func ReadRow(row tablestore.Row) (Accepted, error) {
+// ParseRow decodes and validates a row of the config table.
+func ParseRow(row tablestore.Row) (Accepted, error) {
 	var a Accepted
 	if err := json.Unmarshal([]byte(row.Value), &a); err != nil {
 		return a, fmt.Errorf("row %s/%s cannot be read: %w", tablestore.ConfigTable, row.Key, err)
