--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -10,47 +10,48 @@
 )
 
 const (
-	// zoneRoundTrip and regionRoundTrip are the round trips to another availability zone and to another region.
-	zoneRoundTrip   = time.Millisecond
-	regionRoundTrip = 60 * time.Millisecond
-	// zoneShare and regionShare are the parts of the objective that leaving the availability zone or the region must save,
-	// because the bytes on those links are paid.
-	zoneShare   = 0.05
-	regionShare = 0.5
-	// useShare is the part of the typical run time by which a full backend server is worse than an idle one. It only tells
-	// backend servers of one place apart.
-	useShare = 0.02
-	// defaultObjective stands for the objective of a route that states none.
+	// crossZoneRoundTrip and crossRegionRoundTrip are the round trips to another availability zone and to another region.
+	crossZoneRoundTrip   = time.Millisecond
+	crossRegionRoundTrip = 60 * time.Millisecond
+	// crossZonePenaltyShare and crossRegionPenaltyShare are the fractions of the objective that a call must save by leaving
+	// its availability zone or region, because traffic on those links is billed.
+	crossZonePenaltyShare   = 0.05
+	crossRegionPenaltyShare = 0.5
+	// utilizationPenaltyShare is the fraction of the typical run time that full utilization adds to the cost. It only breaks
+	// ties among backend servers of the same place.
+	utilizationPenaltyShare = 0.02
+	// defaultObjective is the objective of a route that configures none.
 	defaultObjective = time.Second
-	// reportLife is how long a report of room is believed. The reported wait counts down meanwhile.
-	reportLife = 500 * time.Millisecond
-	// ratioGain is the part by which one answer moves the speed of a backend server.
-	ratioGain = 0.1
-	// minRatio and maxRatio bound what one answer says of a backend server's speed, since work differs from call to call.
+	// loadReportTTL is how long a load report is valid. The reported wait is reduced by the age of the report.
+	loadReportTTL = 500 * time.Millisecond
+	// ratioSmoothing is the weight of one answer in the moving average of a backend server's run time ratio.
+	ratioSmoothing = 0.1
+	// minRatio and maxRatio bound the run time ratio of one answer, because the work differs from call to call.
 	minRatio, maxRatio = 0.1, 8
-	// ratioHalfLife is the time without answers in which a slow backend server is half forgiven, so that it is tried again.
-	ratioHalfLife = 3 * time.Second
-	// failureGain is the part by which one end moves the share of failures of a backend server.
-	failureGain = 0.15
-	// failureCost is what a failure costs, as a multiple of the objective: the call is late at best, and the work above it is
-	// lost at worst.
-	failureCost = 2
-	// typicalGain is the part by which one answer moves the typical run time of a route.
-	typicalGain = 0.05
-	// firstTypical stands for the typical run time of a route without answers.
-	firstTypical = 100 * time.Millisecond
-	// maxRoutes bounds the routes whose typical run time is kept.
+	// observationHalfLife is the half-life of the excess run time ratio and of the failure rate while no calls end, so that
+	// a slow or failing backend server is tried again.
+	observationHalfLife = 3 * time.Second
+	// failureSmoothing is the weight of one call in the moving average of a backend server's failure rate.
+	failureSmoothing = 0.15
+	// failurePenalty is the cost of a failure as a multiple of the objective: at best the call is late, at worst the work of
+	// its callers is lost.
+	failurePenalty = 2
+	// typicalSmoothing is the weight of one answer in the moving average of a route's run time.
+	typicalSmoothing = 0.05
+	// initialTypicalRunTime is the typical run time assumed for a route without answers.
+	initialTypicalRunTime = 100 * time.Millisecond
+	// maxRoutes bounds the number of routes whose typical run time is stored.
 	maxRoutes = 4096
-	// cappedLife is how long a backend server that takes no more calls of a route is passed over for it.
-	cappedLife = 300 * time.Millisecond
-	// maxCapped bounds the routes for which that is kept.
-	maxCapped = 64
-	// firstAvoidance and longestAvoidance bound how long a backend server that could not be used is passed over.
-	firstAvoidance   = 200 * time.Millisecond
-	longestAvoidance = 3 * time.Second
+	// routeCapTTL is how long a backend server that refused a call because of its route cap is excluded for that route.
+	routeCapTTL = 300 * time.Millisecond
+	// maxRouteCaps bounds the number of route caps stored for each backend server.
+	maxRouteCaps = 64
+	// initialBackoff and maxBackoff bound how long an unusable backend server is avoided. The backoff doubles each time.
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 3 * time.Second
 )
 
-// Candidate is a backend server, known by the address of the node beside it.
+// Candidate is a backend server that may receive calls. The address of the node beside it identifies it.
 type Candidate struct {
 	Address string
 	Service string
@@ -58,46 +59,49 @@
 	Slots   int
 }
 
-// Query asks for a backend server.
+// Query describes a call that needs a backend server.
 type Query struct {
 	Service string
 	Route   string
-	// Objective is the latency within which an answer is worth most.
+	// Objective is the target latency of the route; 0 means defaultObjective.
 	Objective time.Duration
-	// Exclude holds the addresses that this call must not go to again.
+	// Exclude holds the addresses that the call must not be sent to again.
 	Exclude kernel.Set[string]
-	// Within holds how long the call may wait in all.
+	// Within is the longest total time that the call may wait in queues.
 	Within time.Duration
 }
 
 // Choice names the backend server that takes a call.
 type Choice struct {
 	Address string
-	// Wait is how long the call may wait there before another backend server would have been better.
+	// Wait is the longest time that the call may wait in the queue there. Beyond it, the second-best candidate would have
+	// cost less.
 	Wait time.Duration
-	// Region and Zone are set for a call that leaves its region or its availability zone.
+	// Region and Zone report whether the call leaves its region or its availability zone.
 	Region, Zone bool
 }
 
-// Outcome is what was learned from a call.
+// Outcome is the observed result of a call: Answered, Capped, Unusable, Failed or Ended.
 type Outcome interface{ outcome() }
 
-// Answered means that the backend server ran the call for a time.
+// Answered means that the backend server ran the call; Ran is the run time.
 type Answered struct {
 	Route string
 	Ran   time.Duration
 }
 
-// Capped means that the backend server takes no more calls of the route now, because services below it are short of room.
+// Capped means that the backend server accepts no more calls of the route now, because services that it calls are short of
+// capacity.
 type Capped struct{ Route string }
 
-// Unusable means that the backend server can't be reached or takes no calls.
+// Unusable means that the backend server is unreachable or accepts no calls.
 type Unusable struct{}
 
-// Failed means that the backend server was reached and gave no answer that counts.
+// Failed means that the backend server was reached but returned no valid answer.
 type Failed struct{}
 
-// Ended means that nothing was learned beyond the reported room: there was none in time, the caller left, or the time ran out.
+// Ended means that the call says nothing about the backend server beyond its reported load: no slot became free in time, the
+// caller disconnected, or the deadline passed.
 type Ended struct{}
 
 func (Answered) outcome() {}
@@ -106,7 +110,8 @@
 func (Failed) outcome()   {}
 func (Ended) outcome()    {}
 
-// Chooser holds what is known of all backend servers; the caller serializes access to it. Its zero value knows none.
+// Chooser tracks the load, run time and failures of all backend servers and chooses among them. The caller serializes
+// access to it. Its zero value has no candidates.
 type Chooser struct {
 	home      balance.Place
 	peers     map[string]*peer
@@ -118,21 +123,21 @@
 	candidate Candidate
 	load      slots.Load
 	loadAt    time.Time
-	// sent counts the calls that were sent after the last report.
-	sent int
-	// ratio is the run time relative to what is typical; 0 while unknown.
+	// sentSinceReport counts the calls sent after the last load report.
+	sentSinceReport int
+	// ratio is the moving average of the run time relative to the typical run time of the route; 0 while unknown.
 	ratio   float64
 	ratioAt time.Time
-	// failures is the share of calls that failed.
-	failures   float64
-	failuresAt time.Time
-	avoided    time.Time
-	backoff    time.Duration
-	// capped holds until when the backend server takes no more calls of a route.
-	capped *kernel.Table[string, time.Time]
+	// failureRate is the moving average of the share of calls that failed.
+	failureRate   float64
+	failureRateAt time.Time
+	avoidedUntil  time.Time
+	backoff       time.Duration
+	// cappedUntil maps a route to the time until which the backend server is excluded for it.
+	cappedUntil *kernel.Table[string, time.Time]
 }
 
-// Update replaces the candidates and keeps what is known of those that remain.
+// Update replaces the candidates and keeps the observations of those that remain.
 func (c *Chooser) Update(home balance.Place, candidates []Candidate) {
 	c.home = home
 	peers := make(map[string]*peer, len(candidates))
@@ -149,17 +154,18 @@
 	c.peers = peers
 }
 
-// Choose returns the backend server where the call is likely answered first, leaving the place only for a clear gain.
+// Choose returns the candidate with the lowest cost, and false when every candidate is excluded or capped. If all remaining
+// candidates are avoided, it returns the one whose avoidance ends first.
 func (c *Chooser) Choose(now time.Time, q Query, random *kernel.Rand) (Choice, bool) {
-	var best, second, last *peer
+	var best, second, fallback *peer
 	var bestCost, secondCost time.Duration
 	for _, p := range c.byService[q.Service] {
 		if q.Exclude.Has(p.candidate.Address) || p.isCapped(now, q.Route) {
 			continue
 		}
-		if now.Before(p.avoided) {
-			if last == nil || p.avoided.Before(last.avoided) {
-				last = p
+		if now.Before(p.avoidedUntil) {
+			if fallback == nil || p.avoidedUntil.Before(fallback.avoidedUntil) {
+				fallback = p
 			}
 			continue
 		}
@@ -173,112 +179,113 @@
 		}
 	}
 	if best == nil {
-		if last == nil {
+		if fallback == nil {
 			return Choice{}, false
 		}
-		best = last
+		best = fallback
 	}
 	wait := q.Within
 	if second != nil {
-		wait = min(wait, notNegative(secondCost-bestCost)+best.wait(now, c.Typical(q.Route)))
+		wait = min(wait, notNegative(secondCost-bestCost)+best.queueWait(now, c.Typical(q.Route)))
 	}
-	best.sent++
+	best.sentSinceReport++
 	return Choice{Address: best.candidate.Address, Wait: wait, Region: best.candidate.Place.Region != c.home.Region,
 		Zone: best.candidate.Place != c.home}, true
 }
 
 func notNegative(d time.Duration) time.Duration { return max(d, 0) }
 
-// cost returns the expected time to the answer, with what leaving the place must be worth.
+// cost returns the expected time to the answer plus the penalties for distance, failures and utilization.
 func (c *Chooser) cost(now time.Time, p *peer, q Query, random *kernel.Rand) time.Duration {
 	typical := c.Typical(q.Route)
-	cost := time.Duration(float64(typical)*p.speed(now)) + p.wait(now, typical)
+	cost := time.Duration(float64(typical)*p.runTimeRatio(now)) + p.queueWait(now, typical)
 	objective := q.Objective
 	if objective == 0 {
 		objective = defaultObjective
 	}
 	switch place := p.candidate.Place; {
 	case place.Region != c.home.Region:
-		cost += regionRoundTrip + time.Duration(regionShare*float64(objective))
+		cost += crossRegionRoundTrip + time.Duration(crossRegionPenaltyShare*float64(objective))
 	case place != c.home:
-		cost += zoneRoundTrip + time.Duration(zoneShare*float64(objective))
+		cost += crossZoneRoundTrip + time.Duration(crossZonePenaltyShare*float64(objective))
 	}
-	cost += time.Duration(failureCost * p.failing(now) * float64(objective))
-	// Equal candidates are told apart by load, then by chance.
-	cost += time.Duration(useShare * p.use() * float64(typical))
+	cost += time.Duration(failurePenalty * p.currentFailureRate(now) * float64(objective))
+	// Utilization breaks ties between equal candidates, then random jitter does.
+	cost += time.Duration(utilizationPenaltyShare * p.utilization() * float64(typical))
 	return cost + time.Duration(random.IntN(int(time.Millisecond)))
 }
 
-// Typical returns the usual run time of a route's calls.
+// Typical returns the typical run time of a route's calls, a moving average.
 func (c *Chooser) Typical(route string) time.Duration {
 	if c.typical != nil {
 		if seconds := c.typical.Get(route); seconds != nil {
 			return time.Duration(*seconds * float64(time.Second))
 		}
 	}
-	return firstTypical
+	return initialTypicalRunTime
 }
 
-// use returns the share of the slots that is in use as far as is known.
-func (p *peer) use() float64 {
-	return float64(p.load.Running+p.load.Waiting+p.sent) / float64(max(p.candidate.Slots, 1))
+// utilization returns the calls running, waiting and sent since the last load report, relative to the number of slots.
+func (p *peer) utilization() float64 {
+	return float64(p.load.Running+p.load.Waiting+p.sentSinceReport) / float64(max(p.candidate.Slots, 1))
 }
 
-// wait returns the expected time in the queue.
-func (p *peer) wait(now time.Time, typical time.Duration) time.Duration {
+// queueWait returns the expected time in the queue, which is 0 without a valid load report.
+func (p *peer) queueWait(now time.Time, typical time.Duration) time.Duration {
 	age := now.Sub(p.loadAt)
-	if p.loadAt.IsZero() || age > reportLife {
+	if p.loadAt.IsZero() || age > loadReportTTL {
 		return 0
 	}
 	limit := max(p.load.Limit, 1)
 	wait := p.load.Wait
-	if excess := p.load.Running + p.sent - limit; excess > 0 && p.sent > 0 {
-		wait += time.Duration(float64(typical) * float64(min(excess, p.sent)) / float64(limit))
+	if excess := p.load.Running + p.sentSinceReport - limit; excess > 0 && p.sentSinceReport > 0 {
+		wait += time.Duration(float64(typical) * float64(min(excess, p.sentSinceReport)) / float64(limit))
 	}
 	return notNegative(wait - age)
 }
 
-// speed returns the run time relative to what is typical.
-func (p *peer) speed(now time.Time) float64 {
+// runTimeRatio returns the run time relative to the typical run time. Without answers, a ratio above 1 decays towards 1.
+func (p *peer) runTimeRatio(now time.Time) float64 {
 	if p.ratio == 0 {
 		return 1
 	}
 	ratio := p.ratio
-	for age := now.Sub(p.ratioAt); age > ratioHalfLife && ratio > 1; age -= ratioHalfLife {
+	for age := now.Sub(p.ratioAt); age > observationHalfLife && ratio > 1; age -= observationHalfLife {
 		ratio = 1 + (ratio-1)/2
 	}
 	return ratio
 }
 
 func (p *peer) isCapped(now time.Time, route string) bool {
-	if p.capped == nil {
+	if p.cappedUntil == nil {
 		return false
 	}
-	until := p.capped.Get(route)
+	until := p.cappedUntil.Get(route)
 	return until != nil && now.Before(*until)
 }
 
-// failing returns the share of calls that fail; without calls it halves, so that the backend server is tried again.
-func (p *peer) failing(now time.Time) float64 {
-	if p.failures == 0 {
+// currentFailureRate returns the failure rate, which decays with observationHalfLife so that the backend server is tried
+// again.
+func (p *peer) currentFailureRate(now time.Time) float64 {
+	if p.failureRate == 0 {
 		return 0
 	}
-	return p.failures * math.Exp2(-now.Sub(p.failuresAt).Seconds()/ratioHalfLife.Seconds())
+	return p.failureRate * math.Exp2(-now.Sub(p.failureRateAt).Seconds()/observationHalfLife.Seconds())
 }
 
-func (p *peer) fail(now time.Time, failed float64) {
-	share := p.failing(now)
-	p.failures, p.failuresAt = share+(failed-share)*failureGain, now
+func (p *peer) updateFailureRate(now time.Time, failed float64) {
+	rate := p.currentFailureRate(now)
+	p.failureRate, p.failureRateAt = rate+(failed-rate)*failureSmoothing, now
 }
 
-// Report takes the room that a node told of its backend server.
+// Report records the load that a node reported for its backend server.
 func (c *Chooser) Report(now time.Time, address string, l slots.Load) {
 	if p := c.peers[address]; p != nil {
-		p.load, p.loadAt, p.sent = l, now, 0
+		p.load, p.loadAt, p.sentSinceReport = l, now, 0
 	}
 }
 
-// Learn takes the end of a call at a backend server.
+// Learn records the outcome of a call to a backend server.
 func (c *Chooser) Learn(now time.Time, address string, o Outcome) {
 	p := c.peers[address]
 	if p == nil {
@@ -286,34 +293,34 @@
 	}
 	switch o := o.(type) {
 	case Answered:
-		p.avoided, p.backoff = time.Time{}, 0
-		p.fail(now, 0)
-		c.learnRun(now, p, o)
+		p.avoidedUntil, p.backoff = time.Time{}, 0
+		p.updateFailureRate(now, 0)
+		c.recordRunTime(now, p, o)
 	case Unusable:
-		if now.Before(p.avoided) {
+		if now.Before(p.avoidedUntil) {
 			return
 		}
-		p.backoff = min(longestAvoidance, max(firstAvoidance, 2*p.backoff))
-		p.avoided = now.Add(p.backoff)
+		p.backoff = min(maxBackoff, max(initialBackoff, 2*p.backoff))
+		p.avoidedUntil = now.Add(p.backoff)
 	case Failed:
-		p.fail(now, 1)
+		p.updateFailureRate(now, 1)
 	case Capped:
-		if p.capped == nil {
-			p.capped = kernel.NewTable[string, time.Time](maxCapped)
+		if p.cappedUntil == nil {
+			p.cappedUntil = kernel.NewTable[string, time.Time](maxRouteCaps)
 		}
-		*p.capped.Put(o.Route) = now.Add(cappedLife)
+		*p.cappedUntil.Put(o.Route) = now.Add(routeCapTTL)
 	case Ended:
 	}
 }
 
-// Usable ends the avoidance of a backend server that has shown itself ready.
+// Usable ends the avoidance of a backend server that is known to be ready again.
 func (c *Chooser) Usable(address string) {
 	if p := c.peers[address]; p != nil {
-		p.avoided, p.backoff = time.Time{}, 0
+		p.avoidedUntil, p.backoff = time.Time{}, 0
 	}
 }
 
-func (c *Chooser) learnRun(now time.Time, p *peer, o Answered) {
+func (c *Chooser) recordRunTime(now time.Time, p *peer, o Answered) {
 	if c.typical == nil {
 		c.typical = kernel.NewTable[string, float64](maxRoutes)
 	}
@@ -324,8 +331,8 @@
 		return
 	}
 	ratio := min(maxRatio, max(minRatio, ran / *typical))
-	p.ratio = p.speed(now)
-	p.ratio += (ratio - p.ratio) * ratioGain
+	p.ratio = p.runTimeRatio(now)
+	p.ratio += (ratio - p.ratio) * ratioSmoothing
 	p.ratioAt = now
-	*typical += (min(ran, maxRatio**typical) - *typical) * typicalGain
+	*typical += (min(ran, maxRatio**typical) - *typical) * typicalSmoothing
 }
--- a/dispatch/chooser_test.go
+++ b/dispatch/chooser_test.go
@@ -20,7 +20,7 @@
 	query = dispatch.Query{Service: "maps", Route: "read", Objective: objective, Within: objective / 4}
 )
 
-func chooser() *dispatch.Chooser {
+func newChooser() *dispatch.Chooser {
 	c := &dispatch.Chooser{}
 	c.Update(home, []dispatch.Candidate{
 		{Address: "near", Service: "maps", Place: home, Slots: 10},
@@ -38,27 +38,27 @@
 	return choice
 }
 
-func full(wait time.Duration) slots.Load { return slots.Load{Running: 10, Limit: 10, Wait: wait} }
+func fullLoad(wait time.Duration) slots.Load { return slots.Load{Running: 10, Limit: 10, Wait: wait} }
 
-// Guards against calls that leave their zone or region while there is room near by, and against a surge that is refused
-// while another zone or region has room.
-func TestSurgeFlowsToTheNearestRoomAndBack(t *testing.T) {
-	c := chooser()
+// Guards against calls that leave their zone or region while a nearer backend server has free capacity, and against a surge
+// that is refused while another zone or region has free capacity.
+func TestSurgeSpillsToTheNearestFreeCapacityAndBack(t *testing.T) {
+	c := newChooser()
 	require.Equal(t, "near", choose(t, c, start, query).Address)
-	c.Report(start, "near", full(100*time.Millisecond))
+	c.Report(start, "near", fullLoad(100*time.Millisecond))
 	require.Equal(t, "zone", choose(t, c, start, query).Address)
-	c.Report(start, "zone", full(200*time.Millisecond))
-	require.Equal(t, "near", choose(t, c, start, query).Address, "a short wait is better than the way to another region")
-	c.Report(start, "near", full(900*time.Millisecond))
-	c.Report(start, "zone", full(900*time.Millisecond))
+	c.Report(start, "zone", fullLoad(200*time.Millisecond))
+	require.Equal(t, "near", choose(t, c, start, query).Address, "a short wait costs less than a call to another region")
+	c.Report(start, "near", fullLoad(900*time.Millisecond))
+	c.Report(start, "zone", fullLoad(900*time.Millisecond))
 	require.Equal(t, "far", choose(t, c, start, query).Address)
 	require.Equal(t, "near", choose(t, c, start.Add(time.Second), query).Address)
 }
 
-// Guards against a call that waits longer at one backend server than the way to another one takes.
-func TestWaitIsBoundedByTheNextBest(t *testing.T) {
-	c := chooser()
-	c.Report(start, "near", full(2*time.Millisecond))
+// Guards against a call that waits longer at one backend server than a call to the second-best one would cost.
+func TestWaitIsBoundedByTheSecondBest(t *testing.T) {
+	c := newChooser()
+	c.Report(start, "near", fullLoad(2*time.Millisecond))
 	choice := choose(t, c, start, query)
 	require.Equal(t, "near", choice.Address)
 	require.Less(t, choice.Wait, objective/4)
@@ -68,10 +68,10 @@
 	require.Equal(t, q.Within, choose(t, c, start, q).Wait)
 }
 
-// Guards against calls that stay with a backend server in their own zone that has become many times slower, and against
-// one that is never tried again.
-func TestSlowBackendServerIsLeftAndTriedAgain(t *testing.T) {
-	c := chooser()
+// Guards against calls that stay with a backend server in their own zone after it has become many times slower, and against
+// a slow backend server that is never tried again.
+func TestSlowBackendServerIsAvoidedThenRetried(t *testing.T) {
+	c := newChooser()
 	for range 50 {
 		c.Learn(start, "near", dispatch.Answered{Route: "read", Ran: 50 * time.Millisecond})
 		c.Learn(start, "zone", dispatch.Answered{Route: "read", Ran: 50 * time.Millisecond})
@@ -84,9 +84,10 @@
 	require.Equal(t, "near", choose(t, c, start.Add(30*time.Second), query).Address)
 }
 
-// Guards against calls to a backend server that takes none, and against giving up although it is the only one.
-func TestUnusableBackendServerIsPassedOver(t *testing.T) {
-	c := chooser()
+// Guards against calls to an unusable backend server while others are left, and against failing although it is the only one
+// left.
+func TestUnusableBackendServerIsALastResort(t *testing.T) {
+	c := newChooser()
 	c.Learn(start, "near", dispatch.Unusable{})
 	require.Equal(t, "zone", choose(t, c, start, query).Address)
 	q := query
@@ -98,10 +99,10 @@
 	require.Equal(t, "near", choose(t, c, start.Add(time.Second), query).Address)
 }
 
-// Guards against calls that stay with a backend server near by that rejects half of them, when another one has room, and
-// against one that is left for good.
-func TestRejectingBackendServerIsLeftAndTriedAgain(t *testing.T) {
-	c := chooser()
+// Guards against calls that stay with near backend servers that fail half of them while a farther one has free capacity, and
+// against a failing backend server that is never tried again.
+func TestFailingBackendServerIsAvoidedThenRetried(t *testing.T) {
+	c := newChooser()
 	for i := range 20 {
 		o := dispatch.Outcome(dispatch.Failed{})
 		if i%2 == 0 {
@@ -114,10 +115,10 @@
 	require.Equal(t, "near", choose(t, c, start.Add(20*time.Second), query).Address)
 }
 
-// Guards against a request that is refused because services below are short of room in its own region only, and against
-// nodes that are asked again and again while they take no more of a route.
+// Guards against a request that is refused although the services downstream are short of capacity only in its own region,
+// and against calls to backend servers that have just capped the route.
 func TestCappedRouteGoesToAnotherRegion(t *testing.T) {
-	c := chooser()
+	c := newChooser()
 	c.Learn(start, "near", dispatch.Capped{Route: "read"})
 	c.Learn(start, "zone", dispatch.Capped{Route: "read"})
 	require.Equal(t, "far", choose(t, c, start, query).Address)
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,3 +1,3 @@
-// Package dispatch chooses the backend server for a call by place, room and speed. It does no I/O and takes the time and
-// its random choices from outside.
+// Package dispatch chooses the backend server for a call by locality, free capacity and observed run time. It does no I/O;
+// the caller passes in the time and the source of random numbers.
 package dispatch
