--- a/balance/chooser.go
+++ b/balance/chooser.go
@@ -7,94 +7,95 @@
 	"lovagelane/kernel"
 )
 
-// Place is where an instance stands.
+// Place is the region and availability zone of an instance.
 type Place struct {
 	Region           string
 	AvailabilityZone string
 }
 
-// Candidate is a backend server that may take a call.
+// Candidate is a backend server that may receive calls.
 type Candidate struct {
-	// ID is the member id of the node beside the backend server.
+	// ID is the member ID of the node beside the backend server.
 	ID    string
 	Place Place
 	Slots int
-	// Suspected candidates are chosen only when no other one is left.
+	// Suspected marks a candidate under suspicion of failure, which is chosen only when no other one is left.
 	Suspected bool
 }
 
-// Query asks for a backend server.
+// Query describes a call that needs a backend server.
 type Query struct {
 	Priority call.Priority
-	// Exclude holds the ids that this call already tried.
+	// Exclude holds the IDs of the candidates that the call has already tried.
 	Exclude kernel.Set[string]
 }
 
-// Choice is the answer to a Query: Chosen or None.
+// Choice is the result of a Query: Chosen or None.
 type Choice interface{ choice() }
 
-// Chosen names the backend server that takes the call.
+// Chosen names the backend server to send the call to.
 type Chosen struct {
 	ID string
-	// Probe marks a call that tests a backend server which was avoided.
+	// Probe marks a call that tests whether an avoided backend server has recovered.
 	Probe bool
 	// CrossRegion marks a call that leaves the region.
 	CrossRegion bool
 }
 
-// None means that no backend server takes the call now.
+// None means that no backend server accepts the call now.
 type None struct {
 	Reason call.Reason
-	// Level is the least strict admission level of the backend servers that refuse the priority; it is set with ReasonShed.
+	// Level is the least strict admission level among the backend servers that refuse the priority. It is set only with
+	// ReasonShed.
 	Level call.Priority
 }
 
 func (Chosen) choice() {}
 func (None) choice()   {}
 
-// Result is what was observed of a call that ended.
+// Result is the observed result of a finished call.
 type Result struct {
 	Latency time.Duration
 	Outcome call.Outcome
 	Reason  call.Reason
-	// Answered is false when no answer came; Load and Level count only when it is true.
+	// Answered is false when no answer arrived. Load and Level are valid only when it is true.
 	Answered bool
-	// DialFailed means that no connection could be made.
+	// DialFailed means that the connection could not be established.
 	DialFailed bool
 	Load       call.Load
 	Level      call.Priority
 }
 
-// Config states where the calling node stands and how it chooses.
+// Config holds the policy and the place of the calling node.
 type Config struct {
-	// Policy is the name of a registered plug-in; empty means "least-loaded".
+	// Policy is the name of a registered policy; empty means "least-loaded".
 	Policy string
 	Home   Place
 }
 
-// Chooser chooses among the backend servers of one service; the caller serializes access to it.
+// Chooser chooses among the backend servers of one service. The caller serializes access to it.
 type Chooser struct {
 	cfg    Config
 	rand   *kernel.Rand
 	policy Policy
 	peers  map[string]*peer
-	// tiers holds the candidates that are not suspected by distance: own availability zone, own region, other regions.
+	// tiers holds the candidates that are not suspected, by distance: own availability zone, own region, other regions.
 	tiers [tierCount][]*peer
-	// all holds every candidate in the order of the last Update.
+	// all holds all candidates in the order of the last Update.
 	all []*peer
-	// good holds the latencies of good answers by tier, since answers from other regions take longer.
-	good [tierCount]recent
-	// every holds the latencies of good answers of all tiers.
-	every recent
+	// latenciesByTier holds the latencies of good answers by tier, because answers from other regions take longer.
+	latenciesByTier [tierCount]latencyWindow
+	// latencies holds the latencies of good answers of all tiers.
+	latencies latencyWindow
 }
 
-// Policy is a way to choose; the chooser serializes access to it.
+// Policy is a load balancing algorithm. The caller of the Chooser serializes access to it.
 type Policy interface {
 	// Pick returns the choice for a query.
 	Pick(c *Chooser, now time.Time, q Query) Choice
 }
 
-// Policies holds the policy plug-ins by name.
+// Policies is the registry of policies by name.
 var Policies kernel.Registry[func() Policy]
 
 // New returns a chooser without candidates, or an error for an unknown policy.
@@ -110,7 +111,7 @@
 	return &Chooser{cfg: cfg, rand: r, policy: create(), peers: map[string]*peer{}}, nil
 }
 
-// Update replaces the candidates and keeps what is known of those that remain.
+// Update replaces the candidates and keeps the observations of those that remain.
 func (c *Chooser) Update(now time.Time, candidates []Candidate) {
 	peers := make(map[string]*peer, len(candidates))
 	c.all = c.all[:0]
@@ -135,17 +136,17 @@
 	c.peers = peers
 }
 
-// Choose picks a backend server; report the call with Started and Finished.
+// Choose picks a backend server. The caller reports the call with Started and Finished.
 func (c *Chooser) Choose(now time.Time, q Query) Choice { return c.policy.Pick(c, now, q) }
 
-// Started counts a call that is sent to a candidate; token identifies it until Finished.
+// Started records that a call was sent to a candidate. The token identifies the call until Finished.
 func (c *Chooser) Started(now time.Time, id string, token uint64) {
 	if p := c.peers[id]; p != nil {
-		p.started(now, token)
+		p.start(now, token)
 	}
 }
 
-// Finished records the end of a call.
+// Finished records the result of a call.
 func (c *Chooser) Finished(now time.Time, id string, token uint64, res Result) {
 	p := c.peers[id]
 	if p == nil {
@@ -157,16 +158,16 @@
 	}
 	good := res.Answered && res.Outcome == call.OutcomeRan && res.Reason == call.ReasonNone
 	if good {
-		c.good[p.tier].add(res.Latency)
-		c.every.add(res.Latency)
+		c.latenciesByTier[p.tier].add(res.Latency)
+		c.latencies.add(res.Latency)
 	}
-	p.finished(now, f, res, good, c.slow(p.tier))
+	p.finish(now, f, res, good, c.slowLatency(p.tier))
 }
 
-// HedgeDelay returns how long to wait for an answer before a hedge is worth sending; zero means unknown.
-func (c *Chooser) HedgeDelay() time.Duration { return c.every.p95 }
+// HedgeDelay returns how long to wait for an answer before sending a hedged request; zero means unknown.
+func (c *Chooser) HedgeDelay() time.Duration { return c.latencies.p95 }
 
-// Avoided returns the candidates that are avoided now.
+// Avoided returns the IDs of the candidates that are currently avoided.
 func (c *Chooser) Avoided() []string {
 	var ids []string
 	for id, p := range c.peers {
@@ -188,12 +189,12 @@
 	}
 }
 
-// slow returns the latency from which a call of a tier is too slow. The usual latency is that of the whole tier, because
-// a slowed backend server would soon make its own latency the usual one.
-func (c *Chooser) slow(tier int) time.Duration {
-	p95 := c.good[tier].p95
+// slowLatency returns the latency above which a call of a tier is too slow. The reference is the p95 of the whole tier,
+// because a slowed backend server would soon raise a p95 of its own.
+func (c *Chooser) slowLatency(tier int) time.Duration {
+	p95 := c.latenciesByTier[tier].p95
 	if p95 == 0 {
-		return slowUnknown
+		return defaultSlowLatency
 	}
-	return max(slowFactor*p95, slowMinimum)
+	return max(slowFactor*p95, minSlowLatency)
 }
--- a/balance/chooser_test.go
+++ b/balance/chooser_test.go
@@ -21,7 +21,7 @@
 	bulk      = call.Priority{Rank: 6}
 )
 
-// driver calls a chooser at a time that it moves itself.
+// driver calls a chooser and advances a simulated clock.
 type driver struct {
 	t     require.TestingT
 	c     *balance.Chooser
@@ -40,8 +40,8 @@
 	d.c.Finished(d.now, id, d.token, res)
 }
 
-// warm ends slow start and makes the usual latency known.
-func (d *driver) warm(ids ...string) {
+// warmUp ends slow start and records enough latencies for a p95.
+func (d *driver) warmUp(ids ...string) {
 	for range 100 {
 		for _, id := range ids {
 			d.send(id, good)
@@ -63,12 +63,12 @@
 	return got
 }
 
-// Guards against calls that leave the availability zone or the region while a nearer backend server takes them.
+// Guards against calls that leave the availability zone or the region while a nearer backend server accepts them.
 // Mutation: the tier of other regions is 1.
 func TestNearestTierFirst(t *testing.T) {
 	near, region, far := candidate("near", "rn", "rn-1"), candidate("region", "rn", "rn-2"), candidate("far", "ce", "ce-1")
 	d := newDriver(t, near, region, far)
-	d.warm("near", "region", "far")
+	d.warmUp("near", "region", "far")
 	require.Equal(t, map[string]int{"near": 50}, d.count(50, balance.Query{}))
 	require.Equal(t, map[string]int{"region": 50}, d.count(50, balance.Query{Exclude: kernel.SetOf("near")}))
 	choice := d.c.Choose(d.now, balance.Query{Exclude: kernel.SetOf("near", "region")})
@@ -84,9 +84,9 @@
 	require.Equal(t, map[string]int{"near": 50}, d.count(50, balance.Query{Priority: important}))
 }
 
-// Guards against suspicion that blocks routing, and against a suspected backend server that is preferred.
+// Guards against a suspected backend server that is never chosen, and against one that is preferred to others.
 // Mutation: Update without the check of Suspected.
-func TestSuspectedAreTheRest(t *testing.T) {
+func TestSuspectedCandidatesAreALastResort(t *testing.T) {
 	suspected := candidate("a", "rn", "rn-1")
 	suspected.Suspected = true
 	d := newDriver(t, suspected, candidate("b", "ce", "ce-1"))
@@ -94,11 +94,11 @@
 	require.Equal(t, map[string]int{"a": 50}, d.count(50, balance.Query{Exclude: kernel.SetOf("b")}))
 }
 
-// Guards against a level that is ignored, believed for ever, or applied to calls that it admits.
+// Guards against an admission level that is ignored, never expires, or is applied to calls that it admits.
 // Mutation: refuses always false, or without the age.
-func TestLevelKeepsCallsAway(t *testing.T) {
+func TestAdmissionLevelExcludesCandidate(t *testing.T) {
 	d := newDriver(t, candidate("a", "rn", "rn-1"))
-	d.warm("a")
+	d.warmUp("a")
 	refusal := balance.Result{Latency: time.Millisecond, Outcome: call.OutcomeNotRun, Reason: call.ReasonShed, Answered: true, Level: level}
 	d.send("a", refusal)
 	require.Equal(t, balance.None{Reason: call.ReasonShed, Level: level}, d.c.Choose(d.now, balance.Query{Priority: bulk}))
@@ -107,11 +107,11 @@
 	require.Equal(t, balance.Chosen{ID: "a"}, d.c.Choose(d.now, balance.Query{Priority: bulk}))
 }
 
-// Guards against a dead backend server that keeps getting calls, is never tried again, or stays avoided after it is back.
-// Mutation: finished without the case of DialFailed; probe without the doubling.
+// Guards against a dead backend server that still receives calls, is never probed, or stays avoided after it has recovered.
+// Mutation: finish without the case of DialFailed; startProbe without the doubling.
 func TestDialFailureAvoidsAndProbes(t *testing.T) {
 	d := newDriver(t, candidate("a", "rn", "rn-1"), candidate("b", "rn", "rn-1"))
-	d.warm("a", "b")
+	d.warmUp("a", "b")
 	failed := balance.Result{DialFailed: true, Outcome: call.OutcomeNotRun}
 	d.send("a", failed)
 	require.Equal(t, map[string]int{"b": 50}, d.count(50, balance.Query{}))
@@ -135,12 +135,12 @@
 	require.Greater(t, d.count(100, balance.Query{})["a"], 10)
 }
 
-// Guards against a stalled backend server that is noticed only when its calls end, and against a straggler that empties a
-// backend server whose other calls are answered.
-// Mutation: check without waiting; finished without p.waiting = f.
-func TestStallIsNoticedAndStragglersAreNot(t *testing.T) {
+// Guards against a stalled backend server that is detected only when its calls end, and against a straggler that causes
+// avoidance of a backend server whose other calls are answered.
+// Mutation: available without oldestUnovertaken; finish without p.oldestUnovertaken = f.
+func TestStallAvoidsButStragglerDoesNot(t *testing.T) {
 	d := newDriver(t, candidate("a", "rn", "rn-1"), candidate("b", "rn", "rn-1"))
-	d.warm("a", "b")
+	d.warmUp("a", "b")
 	d.c.Started(d.now, "a", 1<<32)
 	d.now = d.now.Add(100 * time.Millisecond)
 	require.Equal(t, map[string]int{"b": 50}, d.count(50, balance.Query{}))
@@ -148,13 +148,13 @@
 	require.Equal(t, balance.Chosen{ID: "a", Probe: true}, d.c.Choose(d.now, balance.Query{Exclude: kernel.SetOf("b")}))
 
 	d = newDriver(t, candidate("a", "rn", "rn-1"), candidate("b", "rn", "rn-1"))
-	d.warm("a", "b")
+	d.warmUp("a", "b")
 	d.c.Started(d.now, "a", 1<<32)
 	for range 20 {
 		d.send("a", good)
 		d.send("b", good)
 	}
-	// Three calls in flight make b less attractive than a with its straggler.
+	// Three calls in flight give b a higher score than a with its straggler.
 	for token := range uint64(3) {
 		d.c.Started(d.now, "b", 1<<33+token)
 	}
@@ -162,10 +162,10 @@
 }
 
 // Guards against a new candidate that is flooded before it has answered, and against slow start that never ends.
-// Mutation: full always false; grow without the doubling.
+// Mutation: atCap always false; growCap without the doubling.
 func TestSlowStart(t *testing.T) {
 	d := newDriver(t, candidate("old", "rn", "rn-1"))
-	d.warm("old")
+	d.warmUp("old")
 	d.c.Update(d.now, []balance.Candidate{candidate("old", "rn", "rn-1"), candidate("new", "rn", "rn-1")})
 	inFlight := func() int {
 		n := 0
@@ -186,11 +186,11 @@
 	require.Greater(t, inFlight(), 40)
 }
 
-// Guards against a load report that is ignored, and against one that makes a slow backend server attractive.
+// Guards against a load report that is ignored, and against one that lowers the score of a slow backend server.
 // Mutation: score without the load; score divided by the load factor.
 func TestLoadReports(t *testing.T) {
 	d := newDriver(t, candidate("a", "rn", "rn-1"), candidate("b", "rn", "rn-1"))
-	d.warm("a", "b")
+	d.warmUp("a", "b")
 	busy := good
 	busy.Load = call.Load{InFlight: 35, Limit: 35, Queued: 70}
 	d.send("a", busy)
@@ -205,10 +205,10 @@
 	require.Equal(t, map[string]int{"b": 50}, d.count(50, balance.Query{}))
 }
 
-// Guards against failing while a candidate that does not refuse is left, and against choosing one that refuses or was
-// excluded.
+// Guards against None while a candidate is left that neither refuses the priority nor is excluded, and against the choice of
+// a candidate that does or is.
 // Mutation: lastResort returning None when the best one is avoided.
-func TestNeverNoneWhileACandidateIsLeft(t *testing.T) {
+func TestNoneOnlyWhenAllCandidatesAreExcludedOrRefuse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var candidates []balance.Candidate
 		for i := range rapid.IntRange(1, 8).Draw(t, "candidates") {
@@ -226,17 +226,17 @@
 			if rapid.Bool().Draw(t, "bulk") {
 				q.Priority = bulk
 			}
-			left := 0
+			eligible := 0
 			for _, c := range candidates {
 				switch at, ok := refusing[c.ID]; {
 				case rapid.IntRange(0, 4).Draw(t, "exclude") == 0:
 					q.Exclude = q.Exclude.With(c.ID)
 				case !ok || q.Priority == important || d.now.Sub(at) >= time.Second:
-					left++
+					eligible++
 				}
 			}
 			choice, ok := d.c.Choose(d.now, q).(balance.Chosen)
-			require.Equal(t, left > 0, ok)
+			require.Equal(t, eligible > 0, ok)
 			if ok {
 				require.False(t, q.Exclude.Has(choice.ID))
 				at, refuses := refusing[choice.ID]
@@ -269,47 +269,47 @@
 	})
 }
 
-// Guards against tail latency that follows one slowed backend server, and against one that is never tried again.
-// Mutation: score without the latency and check always true.
+// Guards against one slowed backend server that raises the tail latency of all calls, or that is never tried again.
+// Mutation: score without the latency and available always true.
 func TestOneSlowBackendServer(t *testing.T) {
 	for _, rate := range []float64{100, 1000, 5000} {
 		for _, straggle := range []float64{0, 0.004} {
-			usual := simulate(t, "least-loaded", rate, straggle, 20*time.Second, six()).p99()
-			for name, slow := range map[string]func(time.Duration) float64{"from the start": always(10), "later": from(5*time.Second, 10)} {
-				servers := six()
+			usual := simulate(t, "least-loaded", rate, straggle, 20*time.Second, sixServers()).p99()
+			for name, slow := range map[string]func(time.Duration) float64{"from the start": fixed(10), "later": step(5*time.Second, 10)} {
+				servers := sixServers()
 				servers["s0"].slow = slow
 				s := simulate(t, "least-loaded", rate, straggle, 20*time.Second, servers)
 				require.LessOrEqual(t, s.p99(), usual*3/2, "%v calls a second, slow %s", rate, name)
-				require.Positive(t, s.between("s0", 10*time.Second, 20*time.Second))
+				require.Positive(t, s.callsBetween("s0", 10*time.Second, 20*time.Second))
 			}
 		}
 	}
 }
 
-// Guards against a stall that takes more than a few calls, and against a backend server that gets no calls after it.
-// Mutation: check always true.
+// Guards against a stalled backend server that receives more than a few calls, or that receives none after the stall.
+// Mutation: available always true.
 func TestOneStalledBackendServer(t *testing.T) {
-	servers := six()
+	servers := sixServers()
 	servers["s0"].stall = [2]time.Duration{5 * time.Second, 7 * time.Second}
 	s := simulate(t, "least-loaded", 1000, 0, 20*time.Second, servers)
-	require.LessOrEqual(t, s.between("s0", 5*time.Second, 7*time.Second), 20)
-	require.Greater(t, s.between("s0", 9*time.Second, 10*time.Second), 100)
+	require.LessOrEqual(t, s.callsBetween("s0", 5*time.Second, 7*time.Second), 20)
+	require.Greater(t, s.callsBetween("s0", 9*time.Second, 10*time.Second), 100)
 	require.Zero(t, s.none)
 }
 
-// Guards against a backend server that refuses at once and draws the calls because it looks idle and fast.
-// Mutation: finished without the avoidance by refusals.
-func TestFastRefusalsAreNotAttractive(t *testing.T) {
+// Guards against a backend server that refuses at once and attracts calls because it looks idle and fast.
+// Mutation: finish without the avoidance by refusals.
+func TestFastRefusalsDoNotAttractCalls(t *testing.T) {
 	for _, rate := range []float64{100, 5000} {
-		servers := six()
-		servers["s0"].refuses = true
+		servers := sixServers()
+		servers["s0"].refuseAll = true
 		s := simulate(t, "least-loaded", rate, 0.02, 20*time.Second, servers)
 		require.LessOrEqual(t, s.refused, 50, "%v calls a second", rate)
 	}
 }
 
-// Guards against a hedge delay that follows stragglers or is stated before enough is known.
-// Mutation: recentMin = 1.
+// Guards against a hedge delay that follows stragglers or is returned before enough latencies are recorded.
+// Mutation: minLatencies = 1.
 func TestHedgeDelay(t *testing.T) {
 	d := newDriver(t, candidate("a", "rn", "rn-1"))
 	slow, failed := good, balance.Result{Latency: time.Hour}
@@ -327,7 +327,7 @@
 	require.Equal(t, good.Latency, d.c.HedgeDelay())
 }
 
-// Guards against the baseline losing its even turn, and against an unknown policy that is accepted.
+// Guards against an uneven distribution by the round robin policy, and against an unknown policy that is accepted.
 // Mutation: next always 0.
 func TestRoundRobin(t *testing.T) {
 	c := newChooser(t, "round-robin", candidate("a", "rn", "rn-1"), candidate("b", "rn", "rn-2"), candidate("c", "ce", "ce-1"))
@@ -338,12 +338,12 @@
 	require.ErrorContains(t, err, "use one of least-loaded, round-robin")
 }
 
-// Guards against an update that forgets what is known of a remaining candidate or keeps one that left.
+// Guards against an Update that discards the observations of a remaining candidate or keeps a removed one.
 // Mutation: Update with newPeer for every candidate.
-func TestUpdateKeepsWhatIsKnown(t *testing.T) {
+func TestUpdateKeepsObservations(t *testing.T) {
 	a, b := candidate("a", "rn", "rn-1"), candidate("b", "rn", "rn-1")
 	d := newDriver(t, a, b)
-	d.warm("a", "b")
+	d.warmUp("a", "b")
 	d.send("a", balance.Result{DialFailed: true})
 	d.c.Update(d.now, []balance.Candidate{a, b})
 	require.Equal(t, map[string]int{"b": 50}, d.count(50, balance.Query{}))
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,3 +1,3 @@
-// Package balance chooses the backend server for a call from the calling node's own evidence: calls in flight, observed
-// latency, then reported load, nearest place first. It does no I/O.
+// Package balance chooses the backend server for a call by locality, calls in flight, observed latency and reported load. It
+// relies on the calling node's own observations first. It does no I/O.
 package balance
--- a/balance/peer.go
+++ b/balance/peer.go
@@ -8,34 +8,37 @@
 )
 
 const (
-	// slowFactor is how many times its tier's usual p95 a call takes to be too slow.
+	// slowFactor is the multiple of its tier's p95 above which a call is too slow.
 	slowFactor = 4
-	// slowMinimum and slowUnknown bound that latency from below, and give it while no p95 is known.
-	slowMinimum = 10 * time.Millisecond
-	slowUnknown = time.Second
-	// firstBackoff and maxBackoff bound the time between probes of an avoided backend server.
-	firstBackoff = 100 * time.Millisecond
-	maxBackoff   = 5 * time.Second
-	// firstCap is the bound on calls in flight to a new candidate, and maxCap ends its slow start.
-	firstCap = 2
-	maxCap   = 64
-	// freshInterval is the age up to which a level or a load report is believed.
-	freshInterval = time.Second
-	// settleInterval is the time constant with which an observed latency gives way to newer ones, and with which it
-	// returns to that of the other candidates when there are none.
-	settleInterval = time.Second
-	// maxRise bounds what one slow call does to the latency, so that a straggler does not empty a backend server.
-	maxRise = 4
-	// refusalWeight is by how much refusals make a backend server less attractive. Fast refusals are no sign of speed.
-	refusalWeight = 20
-	// refusalLimit is the share of refusals from which a backend server is avoided. Without it, an idle one that refuses
-	// at once draws a third of the calls from busy ones that work.
-	refusalLimit = 0.6
-	// refusalGain is the part by which one answer moves the share of refusals.
-	refusalGain = 0.25
+	// minSlowLatency is the lower bound of that latency, and defaultSlowLatency replaces it while no p95 is known.
+	minSlowLatency     = 10 * time.Millisecond
+	defaultSlowLatency = time.Second
+	// initialBackoff and maxBackoff bound the time between probes of an avoided backend server.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// initialInFlightCap bounds the calls in flight to a new candidate. Its slow start ends when the cap reaches
+	// maxInFlightCap.
+	initialInFlightCap = 2
+	maxInFlightCap     = 64
+	// reportTTL is how long a reported admission level or load is valid.
+	reportTTL = time.Second
+	// decayTimeConstant is the time constant with which an observed latency decays towards lower new observations and,
+	// without new ones, towards the latency of the other candidates.
+	decayTimeConstant = time.Second
+	// maxLatencyRise bounds the factor by which one slow call raises the latency, so that a straggler does not divert all
+	// calls from a backend server.
+	maxLatencyRise = 4
+	// refusalPenalty is the weight of the share of refusals in the score. Without it, fast refusals would look like low
+	// latency.
+	refusalPenalty = 20
+	// maxRefusalShare is the share of refusals above which a backend server is avoided. Without this bound, an idle backend
+	// server that refuses at once attracts a third of the calls from busy ones that work.
+	maxRefusalShare = 0.6
+	// refusalSmoothing is the weight of one answer in the moving average of the share of refusals.
+	refusalSmoothing = 0.25
 )
 
-// flight is a call in flight; the flights of a peer form a list in order of their start.
+// flight is a call in flight. The flights of a peer form a linked list in order of their start.
 type flight struct {
 	token      uint64
 	seq        uint64
@@ -43,49 +46,49 @@
 	prev, next *flight
 }
 
-// peer holds what is known of a candidate.
+// peer holds the calls in flight to a candidate and the observations of it.
 type peer struct {
 	candidate Candidate
 	tier      int
 
 	flights        map[uint64]*flight
 	oldest, newest *flight
-	// waiting is the oldest flight that no later call has overtaken with a good answer. Overtaken flights are
-	// stragglers and do not show that the backend server is slow.
-	waiting *flight
-	seq     uint64
-	free    []*flight
+	// oldestUnovertaken is the oldest flight that no later call has overtaken with a good answer. Overtaken flights are
+	// stragglers, which are no evidence that the backend server is slow.
+	oldestUnovertaken *flight
+	seq               uint64
+	freeFlights       []*flight
 
 	// latency is a peak-sensitive moving average in seconds, 0 while unknown.
-	latency  float64
-	observed time.Time
+	latency   float64
+	latencyAt time.Time
 
-	load      float64
-	loadAt    time.Time
-	level     uint16
-	levelAt   time.Time
-	refusals  float64
-	refusedAt time.Time
+	load           float64
+	loadAt         time.Time
+	level          uint16
+	levelAt        time.Time
+	refusalShare   float64
+	refusalShareAt time.Time
 
 	avoided   bool
 	avoidedAt time.Time
 	backoff   time.Duration
 	probeAt   time.Time
 
-	// cap bounds the calls in flight during slow start; 0 means that it is over.
-	cap  int
-	good int
+	// cap bounds the calls in flight during slow start; 0 means that slow start is over.
+	cap          int
+	goodSinceCap int
 }
 
-func newPeer() *peer { return &peer{flights: map[uint64]*flight{}, cap: firstCap} }
+func newPeer() *peer { return &peer{flights: map[uint64]*flight{}, cap: initialInFlightCap} }
 
-func (p *peer) started(now time.Time, token uint64) {
+func (p *peer) start(now time.Time, token uint64) {
 	if p.flights[token] != nil {
 		return
 	}
 	var f *flight
-	if n := len(p.free); n > 0 {
-		f, p.free = p.free[n-1], p.free[:n-1]
+	if n := len(p.freeFlights); n > 0 {
+		f, p.freeFlights = p.freeFlights[n-1], p.freeFlights[:n-1]
 	} else {
 		f = new(flight)
 	}
@@ -97,14 +100,14 @@
 		p.oldest = f
 	}
 	p.newest = f
-	if p.waiting == nil {
-		p.waiting = f
+	if p.oldestUnovertaken == nil {
+		p.oldestUnovertaken = f
 	}
 	p.flights[token] = f
 }
 
-// end takes a flight out of the list.
-func (p *peer) end(f *flight) {
+// removeFlight removes a flight from the list.
+func (p *peer) removeFlight(f *flight) {
 	delete(p.flights, f.token)
 	if f.prev != nil {
 		f.prev.next = f.next
@@ -116,33 +119,33 @@
 	} else {
 		p.newest = f.prev
 	}
-	if p.waiting == f {
-		p.waiting = f.next
+	if p.oldestUnovertaken == f {
+		p.oldestUnovertaken = f.next
 	}
-	p.free = append(p.free, f)
+	p.freeFlights = append(p.freeFlights, f)
 }
 
-// finished learns from the end of a call; slow is the latency from which it was too slow.
-func (p *peer) finished(now time.Time, f *flight, res Result, good bool, slow time.Duration) {
-	overtaken := p.waiting == nil || f.seq < p.waiting.seq
+// finish updates the observations with the result of a call; slow is the latency above which the call was too slow.
+func (p *peer) finish(now time.Time, f *flight, res Result, good bool, slow time.Duration) {
+	overtaken := p.oldestUnovertaken == nil || f.seq < p.oldestUnovertaken.seq
 	quick := good && res.Latency <= slow
 	if quick && !overtaken {
-		p.waiting = f
+		p.oldestUnovertaken = f
 	}
 	startedAt := f.started
-	p.end(f)
+	p.removeFlight(f)
 
 	if res.Answered {
-		p.report(now, res)
+		p.recordReport(now, res)
 	}
 	switch {
 	case good:
-		p.observe(now, res.Latency)
-		p.refuse(now, 0)
+		p.recordLatency(now, res.Latency)
+		p.recordRefusal(now, 0)
 		if quick {
-			p.grow()
+			p.growCap()
 		}
-		// A probe must be as fast as most calls are: one of a few calls to a slowed backend server is below slow.
+		// A probe must be as fast as the tier's p95, since an occasional call to a slowed backend server takes less than slow.
 		if p.avoided && res.Latency <= slow/slowFactor && !startedAt.Before(p.avoidedAt) {
 			p.readmit(res.Latency)
 		} else if !quick && !overtaken {
@@ -151,25 +154,25 @@
 	case res.DialFailed:
 		p.avoid(now)
 	case !res.Answered && res.Reason == call.ReasonCancelled:
-		// The caller gave up: the call took at least this long.
+		// The caller cancelled the call, so its latency is a lower bound.
 		if res.Latency.Seconds() > p.latency {
-			p.observe(now, res.Latency)
+			p.recordLatency(now, res.Latency)
 		}
-	case !res.Answered || broken(res.Reason):
-		p.refuse(now, 1)
+	case !res.Answered || isUnavailable(res.Reason):
+		p.recordRefusal(now, 1)
 		p.avoid(now)
-	case refused(res.Reason):
-		p.refuse(now, 1)
-		// A level sheds only some priorities, and those are kept away by the level itself.
-		if res.Reason != call.ReasonShed && p.refusals > refusalLimit {
+	case isRefusal(res.Reason):
+		p.recordRefusal(now, 1)
+		// An admission level sheds only some priorities, and refuses already excludes the peer for those.
+		if res.Reason != call.ReasonShed && p.refusalShare > maxRefusalShare {
 			p.avoid(now)
 		}
 	}
 }
 
-// refused reports whether an answer with that reason says that the backend server could not take the call. Other reasons
-// lie with the call.
-func refused(r call.Reason) bool {
+// isRefusal reports whether the reason means that the backend server could not accept the call. Other reasons concern the
+// call itself.
+func isRefusal(r call.Reason) bool {
 	switch r {
 	case call.ReasonShed, call.ReasonQueueFull, call.ReasonDeadline, call.ReasonBusy:
 		return true
@@ -178,48 +181,48 @@
 	}
 }
 
-// broken reports whether an answer with that reason says that the backend server takes no calls at all.
-func broken(r call.Reason) bool {
+// isUnavailable reports whether the reason means that the backend server accepts no calls at all.
+func isUnavailable(r call.Reason) bool {
 	return r == call.ReasonBackendFailed || r == call.ReasonDraining || r == call.ReasonNoConfiguration
 }
 
-func (p *peer) report(now time.Time, res Result) {
+func (p *peer) recordReport(now time.Time, res Result) {
 	p.load, p.loadAt = float64(res.Load.InFlight)+float64(res.Load.Queued), now
 	p.load /= float64(max(res.Load.Limit, 1))
 	p.level, p.levelAt = res.Level.Key(), now
 }
 
-func (p *peer) observe(now time.Time, latency time.Duration) {
+func (p *peer) recordLatency(now time.Time, latency time.Duration) {
 	l := latency.Seconds()
 	if p.latency == 0 {
 		p.latency = l
 	} else if l > p.latency {
-		p.latency = min(l, maxRise*p.latency)
+		p.latency = min(l, maxLatencyRise*p.latency)
 	} else {
-		p.latency = l + (p.latency-l)*settle(now.Sub(p.observed)+latency)
+		p.latency = l + (p.latency-l)*decay(now.Sub(p.latencyAt)+latency)
 	}
-	p.observed = now
+	p.latencyAt = now
 }
 
-func (p *peer) refuse(now time.Time, refused float64) {
-	share := p.refusals * settle(now.Sub(p.refusedAt))
-	p.refusals, p.refusedAt = share+(refused-share)*refusalGain, now
+func (p *peer) recordRefusal(now time.Time, refusal float64) {
+	share := p.refusalShare * decay(now.Sub(p.refusalShareAt))
+	p.refusalShare, p.refusalShareAt = share+(refusal-share)*refusalSmoothing, now
 }
 
-// settle returns the part that is left of an observation of that age.
-func settle(age time.Duration) float64 {
-	return math.Exp(-max(age, 0).Seconds() / settleInterval.Seconds())
+// decay returns the remaining weight of an observation of that age.
+func decay(age time.Duration) float64 {
+	return math.Exp(-max(age, 0).Seconds() / decayTimeConstant.Seconds())
 }
 
-// grow counts a good answer; slow start doubles the cap after as many of them as the cap.
-func (p *peer) grow() {
+// growCap counts a good answer during slow start. The cap doubles once the number of good answers reaches it.
+func (p *peer) growCap() {
 	if p.cap == 0 {
 		return
 	}
-	if p.good++; p.good >= p.cap {
-		p.cap, p.good = 2*p.cap, 0
+	if p.goodSinceCap++; p.goodSinceCap >= p.cap {
+		p.cap, p.goodSinceCap = 2*p.cap, 0
 	}
-	if p.cap >= maxCap || p.candidate.Slots > 0 && p.cap >= p.candidate.Slots {
+	if p.cap >= maxInFlightCap || p.candidate.Slots > 0 && p.cap >= p.candidate.Slots {
 		p.cap = 0
 	}
 }
@@ -229,61 +232,62 @@
 		return
 	}
 	p.avoided, p.avoidedAt = true, now
-	p.backoff = min(maxBackoff, max(firstBackoff, 2*p.backoff))
+	p.backoff = min(maxBackoff, max(initialBackoff, 2*p.backoff))
 	p.probeAt = now.Add(p.backoff)
 }
 
-// readmit ends the avoidance: what was observed before no longer holds, and slow start bounds the damage if it does.
+// readmit ends the avoidance and discards the earlier observations. Slow start bounds the damage if the backend server has
+// not recovered.
 func (p *peer) readmit(latency time.Duration) {
 	p.avoided, p.backoff = false, 0
-	p.latency, p.refusals = latency.Seconds(), 0
-	p.cap, p.good = firstCap, 0
+	p.latency, p.refusalShare = latency.Seconds(), 0
+	p.cap, p.goodSinceCap = initialInFlightCap, 0
 }
 
-// check avoids a peer whose calls wait too long, and reports whether it may be chosen.
-func (p *peer) check(now time.Time, slow time.Duration) bool {
-	if !p.avoided && p.waiting != nil && now.Sub(p.waiting.started) > slow {
+// available starts avoiding a peer whose oldest unovertaken call exceeds slow, and reports whether the peer may be chosen.
+func (p *peer) available(now time.Time, slow time.Duration) bool {
+	if !p.avoided && p.oldestUnovertaken != nil && now.Sub(p.oldestUnovertaken.started) > slow {
 		p.avoid(now)
 	}
 	return !p.avoided
 }
 
-// probeDue reports whether an avoided peer may get a probe.
+// probeDue reports whether an avoided peer may receive a probe.
 func (p *peer) probeDue(now time.Time) bool { return p.avoided && !now.Before(p.probeAt) }
 
-// probe notes that a probe was chosen; the next one waits for twice the time.
-func (p *peer) probe(now time.Time) {
-	p.backoff = min(maxBackoff, max(firstBackoff, 2*p.backoff))
+// startProbe records that a probe was chosen and doubles the backoff until the next one.
+func (p *peer) startProbe(now time.Time) {
+	p.backoff = min(maxBackoff, max(initialBackoff, 2*p.backoff))
 	p.probeAt = now.Add(p.backoff)
 	p.avoidedAt = now
 }
 
-// refuses reports whether the peer has just said that it does not admit the priority.
+// refuses reports whether the admission level that the peer reported within reportTTL excludes the priority.
 func (p *peer) refuses(now time.Time, priority call.Priority) bool {
-	return !p.levelAt.IsZero() && now.Sub(p.levelAt) < freshInterval && priority.Key() > p.level
+	return !p.levelAt.IsZero() && now.Sub(p.levelAt) < reportTTL && priority.Key() > p.level
 }
 
-// full reports whether slow start allows no more calls in flight.
-func (p *peer) full() bool { return p.cap > 0 && len(p.flights) >= p.cap }
+// atCap reports whether the peer is in slow start and has reached its cap on calls in flight.
+func (p *peer) atCap() bool { return p.cap > 0 && len(p.flights) >= p.cap }
 
-// score returns the cost of one more call; usual is the latency of the other candidates. Reported load only adds to what
-// was observed, so that a backend server that reports no load while its calls are slow counts as slow.
-func (p *peer) score(now time.Time, usual float64) float64 {
-	latency := usual
+// score returns the cost of one more call; typical is the latency of the other candidates in seconds. Reported load can only
+// raise the score, so that a backend server that reports no load while its calls are slow counts as slow.
+func (p *peer) score(now time.Time, typical float64) float64 {
+	latency := typical
 	if p.latency > 0 {
-		latency += (p.latency - usual) * settle(now.Sub(p.observed)-settleInterval)
+		latency += (p.latency - typical) * decay(now.Sub(p.latencyAt)-decayTimeConstant)
 	}
-	if p.waiting != nil {
-		latency = max(latency, now.Sub(p.waiting.started).Seconds())
+	if p.oldestUnovertaken != nil {
+		latency = max(latency, now.Sub(p.oldestUnovertaken.started).Seconds())
 	}
 	latency = max(latency, 1e-6)
 	slots := float64(max(p.candidate.Slots, 1))
 	score := latency * (1 + float64(len(p.flights))) / slots
-	if age := now.Sub(p.loadAt); !p.loadAt.IsZero() && age < freshInterval {
-		score *= 1 + p.load*(1-float64(age)/float64(freshInterval))
+	if age := now.Sub(p.loadAt); !p.loadAt.IsZero() && age < reportTTL {
+		score *= 1 + p.load*(1-float64(age)/float64(reportTTL))
 	}
-	if p.refusals > 0 {
-		score *= 1 + refusalWeight*p.refusals*settle(now.Sub(p.refusedAt))
+	if p.refusalShare > 0 {
+		score *= 1 + refusalPenalty*p.refusalShare*decay(now.Sub(p.refusalShareAt))
 	}
 	return score
 }
--- a/balance/policy.go
+++ b/balance/policy.go
@@ -8,10 +8,10 @@
 
 const (
 	tierCount = 3
-	// tierRegions is the tier of other regions.
-	tierRegions = 2
-	// choices is the number of random candidates that are compared.
-	choices = 3
+	// otherRegionsTier is the index of the farthest tier.
+	otherRegionsTier = 2
+	// sampleSize is the d of the power of d choices: the number of random candidates that are compared.
+	sampleSize = 3
 )
 
 func init() {
@@ -19,83 +19,83 @@
 	Policies.Register("round-robin", func() Policy { return &roundRobin{} })
 }
 
-// leastLoaded compares a few random candidates of the nearest tier that has any to offer.
+// leastLoaded chooses the least-loaded of d random candidates (power of d choices) in the nearest tier that has any.
 type leastLoaded struct{}
 
 // Pick implements Policy.
 func (leastLoaded) Pick(c *Chooser, now time.Time, q Query) Choice {
-	var starting *peer
+	var slowStarting *peer
 	for tier := range c.tiers {
-		// Traffic that leaves the region is paid, so slow start in the region is overrun first.
-		if tier == tierRegions && starting != nil {
-			return c.chosen(now, starting)
+		// Cross-region traffic is billed, so exceeding the slow start cap of a candidate in the own region is preferred.
+		if tier == otherRegionsTier && slowStarting != nil {
+			return c.toChoice(now, slowStarting)
 		}
-		best, full := c.sample(now, q, tier)
+		best, atCap := c.sample(now, q, tier)
 		if best != nil {
-			return c.chosen(now, best)
+			return c.toChoice(now, best)
 		}
-		if starting == nil {
-			starting = full
+		if slowStarting == nil {
+			slowStarting = atCap
 		}
 	}
-	if starting != nil {
-		return c.chosen(now, starting)
+	if slowStarting != nil {
+		return c.toChoice(now, slowStarting)
 	}
 	return c.lastResort(now, q)
 }
 
-// sample returns the best of a few random candidates of a tier, or an avoided one whose probe is due, or nil when none
-// takes the call. It also returns the least loaded one that slow start keeps from taking the call.
-func (c *Chooser) sample(now time.Time, q Query, tier int) (best, starting *peer) {
-	peers, slow, usual := c.tiers[tier], c.slow(tier), c.usual(tier)
+// sample returns the best of sampleSize random candidates of a tier, or an avoided one whose probe is due, or nil when no
+// candidate is available. It also returns the candidate with the fewest calls in flight among those at their slow start cap.
+func (c *Chooser) sample(now time.Time, q Query, tier int) (best, slowStarting *peer) {
+	peers, slow, typical := c.tiers[tier], c.slowLatency(tier), c.typicalLatency(tier)
 	var bestScore float64
-	found := 0
-	// Candidates that were drawn move to the front, so that none is drawn twice.
-	for i := 0; i < len(peers) && found < choices; i++ {
+	sampled := 0
+	// Drawn candidates move to the front, so that none is drawn twice.
+	for i := 0; i < len(peers) && sampled < sampleSize; i++ {
 		j := i + c.rand.IntN(len(peers)-i)
 		peers[i], peers[j] = peers[j], peers[i]
 		p := peers[i]
 		if q.Exclude.Has(p.candidate.ID) || p.refuses(now, q.Priority) {
 			continue
 		}
-		if !p.check(now, slow) {
+		if !p.available(now, slow) {
 			if p.probeDue(now) {
 				return p, nil
 			}
 			continue
 		}
-		if p.full() {
-			if starting == nil || len(p.flights) < len(starting.flights) {
-				starting = p
+		if p.atCap() {
+			if slowStarting == nil || len(p.flights) < len(slowStarting.flights) {
+				slowStarting = p
 			}
 			continue
 		}
-		found++
-		if score := p.score(now, usual); best == nil || score < bestScore {
+		sampled++
+		if score := p.score(now, typical); best == nil || score < bestScore {
 			best, bestScore = p, score
 		}
 	}
-	return best, starting
+	return best, slowStarting
 }
 
-func (c *Chooser) usual(tier int) float64 {
-	if m := c.good[tier].median; m > 0 {
+func (c *Chooser) typicalLatency(tier int) float64 {
+	if m := c.latenciesByTier[tier].median; m > 0 {
 		return m.Seconds()
 	}
-	return c.every.median.Seconds()
+	return c.latencies.median.Seconds()
 }
 
-// chosen turns a peer into a choice.
-func (c *Chooser) chosen(now time.Time, p *peer) Choice {
+// toChoice returns the Chosen for a peer and starts a probe if one is due.
+func (c *Chooser) toChoice(now time.Time, p *peer) Choice {
 	due := p.probeDue(now)
 	if due {
-		p.probe(now)
+		p.startProbe(now)
 	}
-	return Chosen{ID: p.candidate.ID, Probe: due, CrossRegion: p.tier == tierRegions}
+	return Chosen{ID: p.candidate.ID, Probe: due, CrossRegion: p.tier == otherRegionsTier}
 }
 
-// lastResort returns the least bad candidate: a suspected one, then an avoided one; the nearest and least loaded first.
-// A candidate that refuses the priority is never chosen.
+// lastResort chooses among all candidates that are not excluded: suspected ones before avoided ones, then by tier, then by
+// score. It never chooses a candidate that refuses the priority.
 func (c *Chooser) lastResort(now time.Time, q Query) Choice {
 	var best *peer
 	var bestRank int
@@ -113,17 +113,17 @@
 		if p.candidate.Suspected {
 			rank += tierCount
 		}
-		if !p.check(now, c.slow(p.tier)) {
+		if !p.available(now, c.slowLatency(p.tier)) {
 			rank += 2 * tierCount
 		}
-		score := p.score(now, c.usual(p.tier))
+		score := p.score(now, c.typicalLatency(p.tier))
 		if best == nil || rank < bestRank || rank == bestRank && score < bestScore {
 			best, bestRank, bestScore = p, rank, score
 		}
 	}
 	switch {
 	case best != nil:
-		return c.chosen(now, best)
+		return c.toChoice(now, best)
 	case refused:
 		return None{Reason: call.ReasonShed, Level: call.PriorityOf(level)}
 	default:
@@ -131,7 +131,7 @@
 	}
 }
 
-// roundRobin is the baseline that takes the candidates in turn and ignores every observation.
+// roundRobin is the baseline policy that chooses the candidates in turn and ignores all observations.
 type roundRobin struct {
 	next int
 }
@@ -141,7 +141,7 @@
 	for range c.all {
 		r.next = (r.next + 1) % len(c.all)
 		if p := c.all[r.next]; !q.Exclude.Has(p.candidate.ID) {
-			return Chosen{ID: p.candidate.ID, CrossRegion: p.tier == tierRegions}
+			return Chosen{ID: p.candidate.ID, CrossRegion: p.tier == otherRegionsTier}
 		}
 	}
 	return None{Reason: call.ReasonNoBackendServer}
--- a/balance/recent.go
+++ b/balance/recent.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// recentSize is the number of latest latencies kept. The 5% above the p95 are 12 calls, which 2% stragglers hardly
-	// ever fill.
-	recentSize = 256
-	// recentStep is the number of latencies after which the p95 is computed again.
-	recentStep = 32
-	// recentMin is the number of latencies from which the p95 is known.
-	recentMin = 20
+	// latencyWindowSize is the number of most recent latencies in the window. The 5% above the p95 are 12 calls, which a
+	// straggler rate of 2% rarely reaches.
+	latencyWindowSize = 256
+	// quantileInterval is the number of latencies after which the p95 and the median are recomputed.
+	quantileInterval = 32
+	// minLatencies is the number of latencies needed for the first p95 and median.
+	minLatencies = 20
 )
 
-// recent holds the latest latencies and their p95; its zero value is ready.
-type recent struct {
+// latencyWindow holds the most recent latencies with their p95 and median. Its zero value is ready to use.
+type latencyWindow struct {
 	ring    []time.Duration
 	scratch []time.Duration
-	n       int
+	count   int
 	p95     time.Duration
 	median  time.Duration
 }
 
-func (r *recent) add(latency time.Duration) {
-	if len(r.ring) < recentSize {
-		r.ring = append(r.ring, latency)
+func (w *latencyWindow) add(latency time.Duration) {
+	if len(w.ring) < latencyWindowSize {
+		w.ring = append(w.ring, latency)
 	} else {
-		r.ring[r.n%recentSize] = latency
+		w.ring[w.count%latencyWindowSize] = latency
 	}
-	r.n++
-	if r.n < recentMin || r.n > recentMin && r.n%recentStep != 0 {
+	w.count++
+	if w.count < minLatencies || w.count > minLatencies && w.count%quantileInterval != 0 {
 		return
 	}
-	r.scratch = append(r.scratch[:0], r.ring...)
-	slices.Sort(r.scratch)
-	r.p95 = r.scratch[len(r.scratch)*95/100]
-	r.median = r.scratch[len(r.scratch)/2]
+	w.scratch = append(w.scratch[:0], w.ring...)
+	slices.Sort(w.scratch)
+	w.p95 = w.scratch[len(w.scratch)*95/100]
+	w.median = w.scratch[len(w.scratch)/2]
 }
--- a/balance/sim_test.go
+++ b/balance/sim_test.go
@@ -34,30 +34,30 @@
 type server struct {
 	slow  func(at time.Duration) float64
 	stall [2]time.Duration
-	// refuses answers at once that nothing runs.
-	refuses bool
-	free    []time.Duration
+	// refuseAll makes the server refuse every call at once.
+	refuseAll bool
+	free      []time.Duration
 }
 
-type ending struct {
-	at  time.Duration
-	run func()
+type event struct {
+	at       time.Duration
+	callback func()
 }
 
-type agenda []ending
+type eventQueue []event
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(ending)) }
-func (a *agenda) Pop() any {
-	old := *a
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	e := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return e
 }
 
-// simulation sends a Poisson stream of calls of 10 ms through one chooser.
+// simulation holds the results of a Poisson stream of calls of 10 ms sent through one chooser.
 type simulation struct {
 	chosen    map[string][]time.Duration
 	latencies []time.Duration
@@ -79,11 +79,11 @@
 	c := newChooser(t, policy, candidates...)
 	r := rand.New(rand.NewPCG(1, 2))
 	s := &simulation{chosen: map[string][]time.Duration{}}
-	var events agenda
+	var events eventQueue
 	token := uint64(0)
 	for now := time.Duration(0); now < length; now += time.Duration(r.ExpFloat64() / rate * 1e9) {
 		for len(events) > 0 && events[0].at <= now {
-			heap.Pop(&events).(ending).run()
+			heap.Pop(&events).(event).callback()
 		}
 		choice, ok := c.Choose(epoch.Add(now), balance.Query{}).(balance.Chosen)
 		if !ok {
@@ -91,26 +91,26 @@
 			continue
 		}
 		token++
-		id, mine, sent := choice.ID, token, now
-		c.Started(epoch.Add(now), id, mine)
+		id, callToken, sent := choice.ID, token, now
+		c.Started(epoch.Add(now), id, callToken)
 		s.chosen[id] = append(s.chosen[id], now)
 		end := servers[id].serve(now, r, straggle)
-		heap.Push(&events, ending{end, func() {
+		heap.Push(&events, event{end, func() {
 			res := balance.Result{Latency: end - sent, Outcome: call.OutcomeRan, Answered: true, Level: call.LeastImportant}
-			if servers[id].refuses {
+			if servers[id].refuseAll {
 				s.refused++
 				res.Outcome, res.Reason = call.OutcomeNotRun, call.ReasonQueueFull
 			} else {
 				s.latencies = append(s.latencies, end-sent)
 			}
-			c.Finished(epoch.Add(end), id, mine, res)
+			c.Finished(epoch.Add(end), id, callToken, res)
 		}})
 	}
 	return s
 }
 
 func (s *server) serve(now time.Duration, r *rand.Rand, straggle float64) time.Duration {
-	if s.refuses {
+	if s.refuseAll {
 		return now + 100*time.Microsecond
 	}
 	took := float64(5*time.Millisecond) * (1 + r.ExpFloat64())
@@ -141,8 +141,8 @@
 	return sorted[len(sorted)*99/100]
 }
 
-// between returns how many calls a server got from one time to another.
-func (s *simulation) between(id string, from, to time.Duration) int {
+// callsBetween returns how many calls were sent to a server in a time range.
+func (s *simulation) callsBetween(id string, from, to time.Duration) int {
 	n := 0
 	for _, at := range s.chosen[id] {
 		if at >= from && at < to {
@@ -152,7 +152,7 @@
 	return n
 }
 
-func six() map[string]*server {
+func sixServers() map[string]*server {
 	servers := map[string]*server{}
 	for i := range 6 {
 		servers[fmt.Sprint("s", i)] = &server{}
@@ -160,11 +160,11 @@
 	return servers
 }
 
-func always(factor float64) func(time.Duration) float64 {
+func fixed(factor float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return factor }
 }
 
-func from(at time.Duration, factor float64) func(time.Duration) float64 {
+func step(at time.Duration, factor float64) func(time.Duration) float64 {
 	return func(now time.Duration) float64 {
 		if now >= at {
 			return factor
