--- a/retry/account.go
+++ b/retry/account.go
@@ -1,48 +1,49 @@
 package retry
 
 const (
-	// Bound is the number of retries that one request may use over its whole call chain.
+	// Bound is the maximum number of retries of one send of a request over its whole call chain.
 	Bound = 3
-	// RequestBound is the number of retries over the whole chain with all resends by the caller.
+	// RequestBound is the maximum number of retries of a request over its whole call chain, including resends by the caller.
 	RequestBound = 6
 )
 
-// Account holds the retries that are left to one call; its zero value has none. The caller serializes access to it.
+// Account is the retry budget of one call. Its zero value allows no retries. The caller serializes access to it.
 type Account struct {
-	left int
+	remaining int
 }
 
-// NewAccount returns an account with n retries.
-func NewAccount(n int) Account { return Account{left: max(n, 0)} }
+// NewAccount returns an account that allows n retries.
+func NewAccount(n int) Account { return Account{remaining: max(n, 0)} }
 
-// Left returns the retries that are left.
-func (a *Account) Left() int { return a.left }
+// Left returns the number of retries that remain.
+func (a *Account) Left() int { return a.remaining }
 
-// Take uses one retry and reports whether one was left.
+// Take withdraws one retry and reports whether one remained.
 func (a *Account) Take() bool {
-	if a.left == 0 {
+	if a.remaining == 0 {
 		return false
 	}
-	a.left--
+	a.remaining--
 	return true
 }
 
-// Share removes the part that an inner call gets, half of what is left rounded up.
+// Share withdraws the share of an inner call, half of the remaining retries rounded up, and returns it.
 func (a *Account) Share() int {
-	share := (a.left + 1) / 2
-	a.left -= share
+	share := (a.remaining + 1) / 2
+	a.remaining -= share
 	return share
 }
 
-// Return gives back the unused part of a share, once for each Share. An answer that claims more than the share is false, so
-// the share counts as used.
+// Return refunds the unused part of a share, once for each Share. An answer that states more than the share is invalid, so
+// the whole share counts as used.
 func (a *Account) Return(share, unused int) {
 	if unused > 0 && unused <= share {
-		a.left += unused
+		a.remaining += unused
 	}
 }
 
-// ForResend returns the account of the n-th resend (0 is the first send), and false when the request has used its bound.
+// ForResend returns the account of the n-th resend (0 is the first send), and false when the request has exhausted its
+// resends.
 func ForResend(n int) (Account, bool) {
 	switch n {
 	case 0:
--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -9,57 +9,58 @@
 	"lovagelane/retry"
 )
 
-// chain is a generated tree of calls that counts the retries in it.
-type chain struct {
+// callTree generates a tree of calls and counts its retries.
+type callTree struct {
 	t       *rapid.T
 	policy  retry.Policy
 	retries int
 	calls   int
 }
 
-// share is the allowance of an attempt whose answer is outstanding.
-type share struct {
+// outstandingShare is the allowance of an attempt whose answer is outstanding.
+type outstandingShare struct {
 	account *retry.Account
 	given   int
 }
 
-// run serves a call with an account: it makes inner calls at once, each with attempts while retries are left, and their
-// answers are honest, lost, or claim more than was given.
-func (c *chain) run(account *retry.Account, depth int) {
+// serve serves a call with an account. It starts all inner calls at once and retries each while the account allows it. Their
+// answers state the unused retries, are lost, or state more than the share.
+func (c *callTree) serve(account *retry.Account, depth int) {
 	c.calls++
 	if depth == 0 || c.calls > 2000 {
 		return
 	}
-	var open []share
+	var pending []outstandingShare
 	for range rapid.IntRange(0, 2).Draw(c.t, "fan-out") {
 		from := c.policy.Outgoing(account)
-		open = append(open, share{from, c.policy.Share(from)})
+		pending = append(pending, outstandingShare{from, c.policy.Share(from)})
 	}
-	for len(open) > 0 {
-		s := open[0]
-		open = open[1:]
-		inner := c.policy.Received(s.given)
-		c.run(&inner, depth-1)
+	for len(pending) > 0 {
+		p := pending[0]
+		pending = pending[1:]
+		inner := c.policy.Received(p.given)
+		c.serve(&inner, depth-1)
 		switch rapid.IntRange(0, 3).Draw(c.t, "answer") {
 		case 0:
 		case 1:
-			c.policy.Return(s.account, s.given, s.given+1+rapid.IntRange(0, 300).Draw(c.t, "claim"))
+			c.policy.Return(p.account, p.given, p.given+1+rapid.IntRange(0, 300).Draw(c.t, "claim"))
 		default:
-			c.policy.Return(s.account, s.given, inner.Left())
+			c.policy.Return(p.account, p.given, inner.Left())
 		}
-		if rapid.Bool().Draw(c.t, "retry") && s.account.Take() {
+		if rapid.Bool().Draw(c.t, "retry") && p.account.Take() {
 			c.retries++
-			open = append(open, share{s.account, c.policy.Share(s.account)})
+			pending = append(pending, outstandingShare{p.account, c.policy.Share(p.account)})
 		}
 	}
 }
 
-// Guards against a fan-out, a lost answer or a false claim that adds retries to a request, over all its resends.
+// Guards against a fan-out, a lost answer or an answer with too many unused retries that raises the number of retries of a
+// request above its bound, over all its resends.
 func TestRetriesOfAChainStayWithinTheBound(t *testing.T) {
 	policy, err := retry.Policies.Lookup(retry.DefaultPolicy)
 	require.NoError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
-		c := &chain{t: t, policy: policy}
+		c := &callTree{t: t, policy: policy}
 		for n := range 5 {
 			account, ok := policy.Entry(n)
 			require.Equal(t, n <= 2, ok)
@@ -69,7 +70,7 @@
 			if n > 0 {
 				c.retries++
 			}
-			c.run(&account, 15)
+			c.serve(&account, 15)
 			if n == 0 {
 				require.LessOrEqual(t, c.retries, retry.Bound)
 			}
@@ -78,8 +79,9 @@
 	})
 }
 
-// Guards against an account that loses retries when all answers come back, or trusts a header or a false claim.
-func TestAccountDividesAndTakesBack(t *testing.T) {
+// Guards against an account that loses retries although all answers arrive, that exceeds Bound because of a header, or that
+// refunds more than a share.
+func TestAccountSplitsAndRefunds(t *testing.T) {
 	account := retry.NewAccount(3)
 	first, second := account.Share(), account.Share()
 	require.Equal(t, []int{2, 1, 0}, []int{first, second, account.Share()})
@@ -101,7 +103,7 @@
 	require.Equal(t, retry.Bound, received.Left())
 }
 
-// Guards against a baseline that does not multiply retries and so makes the comparison meaningless.
+// Guards against a "per-hop" policy that does not multiply retries with the depth, which would make it useless as a baseline.
 func TestPerHopRetriesMultiply(t *testing.T) {
 	policy, err := retry.Policies.Lookup("per-hop")
 	require.NoError(t, err)
@@ -119,6 +121,6 @@
 	account, ok := policy.Entry(9)
 	require.True(t, ok)
 	received := policy.Received(0)
-	require.Equal(t, retry.PerHopBound, received.Left())
+	require.Equal(t, retry.MaxRetriesPerHop, received.Left())
 	require.Equal(t, 4*4*4, attempts(account, 3))
 }
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,2 +1,3 @@
-// Package retry keeps the retries of one request, over its whole call chain, within a fixed bound, and bounds hedges.
+// Package retry implements retry budgets: for the whole call chain of one request, for the requests of each service across
+// all nodes, and for hedged requests.
 package retry
--- a/retry/hedges.go
+++ b/retry/hedges.go
@@ -1,15 +1,15 @@
 package retry
 
 const (
-	// callsPerHedge makes hedges at most 5% of calls.
+	// callsPerHedge limits hedged requests to 5% of the calls.
 	callsPerHedge = 20
-	// hedgeWindow is the number of calls at which the counts are halved, so that calls of long ago earn no hedges and a
-	// burst of hedges stays below hedgeWindow/callsPerHedge.
-	hedgeWindow = 1000
+	// halvingThreshold is the number of calls at which both counts are halved, so that old calls allow no hedges and a burst
+	// of hedges stays below halvingThreshold/callsPerHedge.
+	halvingThreshold = 1000
 )
 
-// Hedges bounds the hedged calls of a node to a share of its recent calls; its zero value is ready. The caller serializes
-// access.
+// Hedges bounds the hedged requests of a node to a share of its recent calls. Its zero value is ready to use. The caller
+// serializes access to it.
 type Hedges struct {
 	calls  int
 	hedges int
@@ -18,13 +18,13 @@
 // Called counts a call that may be hedged.
 func (h *Hedges) Called() {
 	h.calls++
-	if h.calls >= hedgeWindow {
+	if h.calls >= halvingThreshold {
 		h.calls /= 2
 		h.hedges = (h.hedges + 1) / 2
 	}
 }
 
-// Take uses one hedge and reports whether the share allows it.
+// Take reports whether the share allows one more hedge, and counts it if so.
 func (h *Hedges) Take() bool {
 	if (h.hedges+1)*callsPerHedge > h.calls {
 		return false
--- a/retry/hedges_test.go
+++ b/retry/hedges_test.go
@@ -9,7 +9,7 @@
 	"lovagelane/retry"
 )
 
-// Guards against hedges beyond 5% of the calls, or 50 at once that were earned by calls of long ago.
+// Guards against hedges beyond 5% of the calls, and against a burst of more than 50 hedges that old calls allow.
 // Mutation: callsPerHedge = 19; Called without the halving.
 func TestHedgesAreAShareOfRecentCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -31,7 +31,7 @@
 	})
 }
 
-// Guards against a share that is never given, which would leave hedging without effect.
+// Guards against hedges that are always denied, which would disable hedging.
 // Mutation: Take always false.
 func TestHedgesReachTheirShare(t *testing.T) {
 	var h retry.Hedges
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -2,25 +2,25 @@
 
 import "lovagelane/kernel"
 
-// PerHopBound is the number of retries of each call under the "per-hop" policy.
-const PerHopBound = 3
+// MaxRetriesPerHop is the maximum number of retries of each call under the "per-hop" policy.
+const MaxRetriesPerHop = 3
 
-// Policy decides how many retries each call of a chain may use. The caller serializes access to the accounts.
+// Policy allocates the retry budget of each call of a chain. The caller serializes access to the accounts.
 type Policy interface {
-	// Entry returns the account of the n-th resend of a request by its caller (0 is the first send), and false when it is
-	// to be refused.
+	// Entry returns the account of the n-th resend of a request by its caller (0 is the first send), and false when the
+	// resend must be refused.
 	Entry(n int) (Account, bool)
 	// Received returns the account of a call that arrived from another node with this allowance.
 	Received(allowance int) Account
-	// Outgoing returns the account that the retries of one outgoing call of the parent draw from.
+	// Outgoing returns the account from which the retries of one outgoing call of the parent are withdrawn.
 	Outgoing(parent *Account) *Account
-	// Share removes the allowance that goes with one attempt of an outgoing call.
+	// Share withdraws the allowance that is sent with one attempt of an outgoing call, and returns it.
 	Share(a *Account) int
-	// Return gives back the unused part of the allowance that came with the answer to an attempt.
+	// Return refunds the unused part of the allowance, as stated in the answer to an attempt.
 	Return(a *Account, share, unused int)
 }
 
-// Policies holds the retry policies by name.
+// Policies is the registry of retry policies by name.
 var Policies kernel.Registry[Policy]
 
 // DefaultPolicy is the name of the policy that keeps requests within Bound and RequestBound.
@@ -31,7 +31,7 @@
 	Policies.Register("per-hop", perHop{})
 }
 
-// shared divides one account over the whole chain.
+// shared divides one account among all calls of the chain.
 type shared struct{}
 
 func (shared) Entry(n int) (Account, bool)          { return ForResend(n) }
@@ -40,14 +40,14 @@
 func (shared) Share(a *Account) int                 { return a.Share() }
 func (shared) Return(a *Account, share, unused int) { a.Return(share, unused) }
 
-// perHop is the baseline in which each hop retries by itself, so that retries multiply with the depth.
+// perHop is the baseline policy in which each hop retries independently, so that retries multiply with the depth.
 type perHop struct{}
 
-func (perHop) Entry(int) (Account, bool) { return NewAccount(PerHopBound), true }
-func (perHop) Received(int) Account      { return NewAccount(PerHopBound) }
+func (perHop) Entry(int) (Account, bool) { return NewAccount(MaxRetriesPerHop), true }
+func (perHop) Received(int) Account      { return NewAccount(MaxRetriesPerHop) }
 func (perHop) Share(*Account) int        { return 0 }
 func (perHop) Return(*Account, int, int) {}
 func (perHop) Outgoing(*Account) *Account {
-	a := NewAccount(PerHopBound)
+	a := NewAccount(MaxRetriesPerHop)
 	return &a
 }
--- a/retry/requests_test.go
+++ b/retry/requests_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1e6, 0)
 
-// Guards against a resend that looks like a new request, and against a new request that is refused as a resend.
+// Guards against a resend that counts as a new request, and against a new request that counts as a resend.
 func TestRequestsRecogniseResends(t *testing.T) {
 	byID := retry.Send{Caller: "truck 4", RequestID: "r1", Digest: 1}
 	page := retry.Send{Caller: "truck 4", Digest: 1}
@@ -44,8 +44,8 @@
 	}
 }
 
-// Guards against browsers of one workshop that use up each other's resends by asking for the same page together.
-func TestEqualRequestsInFlightTogetherAreNotResends(t *testing.T) {
+// Guards against the browsers of one workshop that exhaust each other's resends by requesting the same page concurrently.
+func TestConcurrentEqualRequestsAreNotResends(t *testing.T) {
 	var requests retry.Requests
 	page := retry.Send{Caller: "workshop", Digest: 1}
 	for want := range 3 {
@@ -58,8 +58,8 @@
 	}
 }
 
-// Guards against a user who can never ask again after a failure, and against records that are kept for ever.
-func TestRequestsAge(t *testing.T) {
+// Guards against a user whose later requests still count as resends of an old failure, and against entries that never expire.
+func TestRequestsExpire(t *testing.T) {
 	var requests retry.Requests
 	page := retry.Send{Caller: "truck 4", Digest: 1}
 	byID := retry.Send{Caller: "truck 4", RequestID: "r1"}
@@ -74,7 +74,7 @@
 	require.Equal(t, 1, requests.Len())
 }
 
-// Guards against tables that callers can fill without bound.
+// Guards against tables that callers can grow without bound.
 func TestRequestsAreBounded(t *testing.T) {
 	var requests retry.Requests
 	for n := range retry.MaxRequests + 10 {
@@ -82,11 +82,11 @@
 		requests.End(start, retry.Send{Caller: fmt.Sprint(n), Digest: 1}, 0, false)
 	}
 	require.Equal(t, 2*retry.MaxRequests, requests.Len())
-	require.Zero(t, requests.Begin(start, retry.Send{Caller: "0", Digest: 1}), "the oldest is forgotten first")
+	require.Zero(t, requests.Begin(start, retry.Send{Caller: "0", Digest: 1}), "the oldest entry is evicted first")
 	require.Equal(t, 1, requests.Begin(start, retry.Send{Caller: "11", Digest: 1}))
 }
 
-// Guards against a backend server that repeats inner calls without drawing from its parent's account.
+// Guards against a backend server that repeats inner calls without a withdrawal from its parent's account.
 func TestInnerRecognisesRepeats(t *testing.T) {
 	var inner retry.Inner
 	require.False(t, inner.Repeats(1))
@@ -96,6 +96,6 @@
 	for digest := uint64(3); digest <= retry.MaxInner; digest++ {
 		require.False(t, inner.Repeats(digest))
 	}
-	require.True(t, inner.Repeats(retry.MaxInner+1), "a call that cannot be told apart draws from the account")
+	require.True(t, inner.Repeats(retry.MaxInner+1), "a call beyond MaxInner counts as a retry")
 	require.True(t, inner.Repeats(retry.MaxInner+1))
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// windowParts is the number of parts in which a window is counted.
-	windowParts = 10
-	// windowUse is the part of the allowed repeats that is used. The rest is for repeats that nodes can't see, as when a
-	// backend server repeats its own calls, and for nodes whose windows don't begin at the same moment.
-	windowUse = 0.5
-	// maxServices bounds the services that are counted.
-	maxServices = 1024
+	// windowBuckets is the number of buckets of a sliding window.
+	windowBuckets = 10
+	// usableShare is the share of the allowed repeats that nodes use. The rest is reserved for repeats that nodes cannot see,
+	// such as a backend server that repeats its own calls, and for nodes whose windows start at different times.
+	usableShare = 0.5
+	// maxWindowServices bounds the number of services that have a window.
+	maxWindowServices = 1024
 )
 
-// Windows bounds the repeats that all nodes together send to each service, without asking each other: every node uses the
-// part that its own requests allow, and its part of the fixed allowance. The caller serializes access to it; its zero
-// value allows none.
+// Windows bounds the repeats that all nodes together send to each service in a sliding window. The nodes do not coordinate:
+// every node uses the part that its own requests allow, and its part of the fixed allowance. The caller serializes access to
+// it. Its zero value allows no repeats.
 type Windows struct {
-	// Ratio is the part of the requests of a window that may be repeats.
+	// Ratio is the allowed number of repeats relative to the number of requests in a window.
 	Ratio float64
-	// Fixed is the number of repeats of all nodes that are allowed beyond it.
+	// Fixed is the number of repeats that all nodes together may send in a window in addition to the ratio.
 	Fixed float64
 	// Length is the length of a window.
 	Length time.Duration
@@ -31,56 +31,56 @@
 }
 
 type window struct {
-	began    time.Time
-	part     int
-	requests [windowParts]float64
-	repeats  [windowParts]float64
+	bucketStart time.Time
+	bucket      int
+	requests    [windowBuckets]float64
+	repeats     [windowBuckets]float64
 }
 
 // Requested counts a request for a service.
 func (w *Windows) Requested(now time.Time, service string) {
-	if s := w.at(now, service); s != nil {
-		s.requests[s.part]++
+	if s := w.advance(now, service); s != nil {
+		s.requests[s.bucket]++
 	}
 }
 
-// Take counts a repeat that costs a number of arrivals at a service, and reports whether the budget allows it. Nodes is
-// the number of nodes that share the fixed allowance.
+// Take reports whether the budget allows a repeat, and counts it if so. The cost is the number of calls that the repeat causes
+// at the service, and nodes is the number of nodes that share the fixed allowance.
 func (w *Windows) Take(now time.Time, service string, cost float64, nodes int) bool {
-	s := w.at(now, service)
+	s := w.advance(now, service)
 	if s == nil {
 		return false
 	}
 	requests, repeats := 0.0, 0.0
-	for i := range windowParts {
+	for i := range windowBuckets {
 		requests += s.requests[i]
 		repeats += s.repeats[i]
 	}
-	if repeats+cost > windowUse*(w.Ratio*requests+w.Fixed/float64(max(nodes, 1))) {
+	if repeats+cost > usableShare*(w.Ratio*requests+w.Fixed/float64(max(nodes, 1))) {
 		return false
 	}
-	s.repeats[s.part] += cost
+	s.repeats[s.bucket] += cost
 	return true
 }
 
-// at returns the counts of a service with the parts that have ended taken out.
-func (w *Windows) at(now time.Time, service string) *window {
+// advance returns the window of a service after it discards the expired buckets.
+func (w *Windows) advance(now time.Time, service string) *window {
 	if w.Length <= 0 {
 		return nil
 	}
 	if w.services == nil {
-		w.services = kernel.NewTable[string, window](maxServices)
+		w.services = kernel.NewTable[string, window](maxWindowServices)
 	}
 	s := w.services.Put(service)
-	length := w.Length / windowParts
-	if s.began.IsZero() {
-		s.began = now
+	bucketLength := w.Length / windowBuckets
+	if s.bucketStart.IsZero() {
+		s.bucketStart = now
 	}
-	ended := int(now.Sub(s.began) / length)
-	for range min(ended, windowParts) {
-		s.part = (s.part + 1) % windowParts
-		s.requests[s.part], s.repeats[s.part] = 0, 0
+	elapsedBuckets := int(now.Sub(s.bucketStart) / bucketLength)
+	for range min(elapsedBuckets, windowBuckets) {
+		s.bucket = (s.bucket + 1) % windowBuckets
+		s.requests[s.bucket], s.repeats[s.bucket] = 0, 0
 	}
-	s.began = s.began.Add(time.Duration(ended) * length)
+	s.bucketStart = s.bucketStart.Add(time.Duration(elapsedBuckets) * bucketLength)
 	return s
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,8 +10,8 @@
 	"lovagelane/retry"
 )
 
-// Guards against nodes that together repeat more requests in some window than the deployment allows.
-func TestWindowsKeepTheSharedBudget(t *testing.T) {
+// Guards against nodes that together send more repeats in some window than the deployment allows.
+func TestWindowsStayWithinTheSharedBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, fixed = 0.2, 50.0
 		const length = 10 * time.Second
@@ -48,7 +48,7 @@
 	})
 }
 
-// Guards against a repeat that brings many calls below and is counted as one.
+// Guards against a repeat that causes many downstream calls and is counted as one.
 func TestWindowsCountTheCostOfARepeat(t *testing.T) {
 	w := retry.Windows{Ratio: 0.2, Fixed: 20, Length: 10 * time.Second}
 	now := time.Unix(1000, 0)
