--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,3 +1,3 @@
-// Package routing decides which service a request goes to: by host and longest path prefix, and by weight where a route is
-// split between services. A configuration is immutable, so that a request sees one version from its arrival to its answer.
+// Package routing selects the service for a request: by host and longest-prefix match on the path, and by weight where a route
+// is split between services. A configuration is immutable, so that a request uses one version from its arrival to its answer.
 package routing
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -12,7 +12,7 @@
 	"lovagelane/routing"
 )
 
-func config(t *testing.T, routes ...routing.Route) *routing.Config {
+func newConfig(t *testing.T, routes ...routing.Route) *routing.Config {
 	t.Helper()
 	c, err := routing.New(7, routes, []routing.Service{{Name: "maps"}, {Name: "nursery"}}, routing.Limits{})
 	require.NoError(t, err)
@@ -23,10 +23,10 @@
 	return routing.Route{Name: name, Host: host, Prefix: prefix, Targets: targets}
 }
 
-// Guards against a request that goes to the route of another host, or to a shorter prefix although a longer one matches.
+// Guards against a request that matches the route of another host, or a shorter prefix although a longer one matches.
 func TestMatchTakesTheLongestPrefix(t *testing.T) {
 	maps := routing.Target{Service: "maps", Weight: 1}
-	c := config(t, route("short", "a", "/x/", maps), route("long", "a", "/x/y/", maps), route("other", "b", "/x/y/z/", maps))
+	c := newConfig(t, route("short", "a", "/x/", maps), route("long", "a", "/x/y/", maps), route("other", "b", "/x/y/z/", maps))
 	for _, tc := range []struct{ host, path, want string }{
 		{"a", "/x/1", "short"},
 		{"a", "/x/y/1", "long"},
@@ -44,8 +44,8 @@
 	}
 }
 
-// Guards against a configuration that is put in force although a request could not be routed by it.
-func TestNewRefusesWhatCannotBeRouted(t *testing.T) {
+// Guards against a configuration that is accepted although it cannot route some requests.
+func TestNewRejectsUnroutableConfiguration(t *testing.T) {
 	maps := routing.Target{Service: "maps", Weight: 1}
 	for name, r := range map[string]routing.Route{
 		"no host":         route("r", "", "/x/", maps),
@@ -60,8 +60,8 @@
 	}
 }
 
-// Guards against shares of a split that are far from the weights over few requests from many nodes.
-func TestSplitsKeepTheWeightsOverAllNodes(t *testing.T) {
+// Guards against shares of a split route that deviate from the weights when many nodes receive few requests each.
+func TestSplitSharesMatchTheWeightsOverAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weight := rapid.IntRange(0, 100).Draw(t, "weight")
 		nodes := rapid.IntRange(1, 60).Draw(t, "nodes")
@@ -84,8 +84,8 @@
 	})
 }
 
-// Guards against a changed weight that takes effect late because the old sequence goes on.
-func TestSplitsFollowAChangeOfWeights(t *testing.T) {
+// Guards against a weight change that takes effect late because the old round robin sequence continues.
+func TestChangedWeightsTakeEffectAtOnce(t *testing.T) {
 	var s routing.Splits
 	random := kernel.NewRand(1)
 	first := route("r", "a", "/", routing.Target{Service: "maps", Weight: 100}, routing.Target{Service: "nursery", Weight: 0})
--- a/routing/split.go
+++ b/routing/split.go
@@ -6,55 +6,55 @@
 	"lovagelane/kernel"
 )
 
-// maxSplits bounds the routes whose shares are kept.
+// maxSplits bounds the number of routes whose round robin state is stored.
 const maxSplits = 4096
 
-// Splits spreads the requests of split routes by weight; its zero value is ready. The caller serializes access to it.
+// Splits distributes the requests of split routes by weight. Its zero value is ready to use. The caller serializes access to
+// it.
 //
-// Each route is dealt by smooth weighted round robin, so that the shares are right over few requests too, where random
-// choice would miss them.
+// Each route uses smooth weighted round robin, because random choice deviates from the weights over few requests.
 type Splits struct {
-	routes *kernel.Table[string, split]
+	routes *kernel.Table[string, weightedRoundRobin]
 }
 
-type split struct {
-	// targets are those that the sequence is for.
-	targets []Target
-	current []int
+type weightedRoundRobin struct {
+	// targets are the targets of the current sequence.
+	targets        []Target
+	currentWeights []int
 }
 
-// Next returns the service for the next request of a route. The start of a new sequence is random, so that many nodes
-// with few requests each do not all begin with the same service.
+// Next returns the service for the next request of a route. A new sequence starts at a random position, so that many nodes
+// with few requests each do not all start with the same service.
 func (s *Splits) Next(r *Route, random *kernel.Rand) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
 	if s.routes == nil {
-		s.routes = kernel.NewTable[string, split](maxSplits)
+		s.routes = kernel.NewTable[string, weightedRoundRobin](maxSplits)
 	}
-	state := s.routes.Put(r.Name)
-	if !slices.Equal(state.targets, r.Targets) {
-		state.targets, state.current = slices.Clone(r.Targets), make([]int, len(r.Targets))
-		for range random.IntN(r.weights()) {
-			state.next(r)
+	wrr := s.routes.Put(r.Name)
+	if !slices.Equal(wrr.targets, r.Targets) {
+		wrr.targets, wrr.currentWeights = slices.Clone(r.Targets), make([]int, len(r.Targets))
+		for range random.IntN(r.totalWeight()) {
+			wrr.pick(r)
 		}
 	}
-	return r.Targets[state.next(r)].Service
+	return r.Targets[wrr.pick(r)].Service
 }
 
-func (s *split) next(r *Route) int {
+func (w *weightedRoundRobin) pick(r *Route) int {
 	best := -1
 	for i, t := range r.Targets {
-		s.current[i] += t.Weight
-		if t.Weight > 0 && (best < 0 || s.current[i] > s.current[best]) {
+		w.currentWeights[i] += t.Weight
+		if t.Weight > 0 && (best < 0 || w.currentWeights[i] > w.currentWeights[best]) {
 			best = i
 		}
 	}
-	s.current[best] -= r.weights()
+	w.currentWeights[best] -= r.totalWeight()
 	return best
 }
 
-func (r *Route) weights() int {
+func (r *Route) totalWeight() int {
 	sum := 0
 	for _, t := range r.Targets {
 		sum += t.Weight
