--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,2 +1,3 @@
-// Package quarantine recognises requests that crash the backend servers that run them. It does no I/O.
+// Package quarantine detects requests that crash the backend servers that run them, and refuses them for a time. It does no
+// I/O.
 package quarantine
--- a/quarantine/size_test.go
+++ b/quarantine/size_test.go
@@ -9,7 +9,7 @@
 	"lovagelane/quarantine"
 )
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -17,18 +17,18 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkEntryMemory measures the heap of a digest with the crashes that quarantine it.
+// BenchmarkEntryMemory measures the heap size of a quarantined digest with its crashes.
 func BenchmarkEntryMemory(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		var t quarantine.Table
 		for i := range quarantine.MaxDigests {
 			for crash := range quarantine.CrashBound {
 				t.Merge(now, quarantine.Report{Digest: uint64(i), Crash: fmt.Sprintf("%032x-%d", i, crash)})
 			}
 		}
-		b.ReportMetric(float64(heap()-before)/quarantine.MaxDigests, "B/entry")
+		b.ReportMetric(float64(heapBytes()-before)/quarantine.MaxDigests, "B/entry")
 		runtime.KeepAlive(&t)
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,63 +8,65 @@
 const (
 	// CrashBound is the number of backend servers that one request may crash before it is refused.
 	CrashBound = 2
-	// Period is how long a request is refused after its last crash or its last send.
+	// Period is the duration of a quarantine, from the last crash or the last refused send.
 	Period = 10 * time.Minute
-	// SuspectPeriod is how long crashes are counted. It is longer than Period so that a request that is sent again after
-	// its quarantine is refused after one more crash.
-	SuspectPeriod = time.Hour
-	// MaxDigests is the number of digests that a table holds.
+	// CrashTTL is how long the crashes of a digest are counted after its last event. It is longer than Period so that one more
+	// crash after a quarantine has ended starts the next one.
+	CrashTTL = time.Hour
+	// MaxDigests is the maximum number of digests in a table.
 	MaxDigests = 4096
-	// maxCrashes is the number of crashes that are told apart for one digest.
-	maxCrashes = 8
-	// maxCrashID bounds the identifier of a crash, in bytes.
-	maxCrashID = 96
+	// maxCrashesPerDigest is the maximum number of distinct crashes stored for one digest.
+	maxCrashesPerDigest = 8
+	// maxCrashIDBytes is the maximum length of the identifier of a crash.
+	maxCrashIDBytes = 96
 )
 
-// Report says that a digest was in flight at crashes of backend servers, for spreading to other nodes.
+// Report states that a request with a digest was in flight when a backend server crashed. Nodes gossip reports to each other.
 type Report struct {
 	Digest uint64 `cbor:"1,keyasint"`
-	// Crash identifies the crash: member id and number of the crash there, so that a report counts once.
+	// Crash identifies the crash by the member ID and the number of the crash there, so that repeated reports count once.
 	Crash string `cbor:"2,keyasint"`
-	// Cleared means that the request has since been answered.
+	// Cleared means that the request has been answered since the crash.
 	Cleared bool `cbor:"3,keyasint,omitempty"`
 }
 
 type crash struct {
 	id string
-	// cleared stays set once it is, in whatever order reports arrive.
+	// cleared is never reset, so that the order of reports does not matter.
 	cleared bool
 }
 
 type entry struct {
 	crashes []crash
-	// live is the number of crashes that were not cleared.
-	live int
-	// last is the time of the last crash, good answer or refused send.
-	last time.Time
-	// until is the end of the quarantine.
-	until time.Time
+	// uncleared is the number of crashes that are not cleared.
+	uncleared int
+	// lastEvent is the time of the last crash, good answer or refused send.
+	lastEvent time.Time
+	// quarantinedUntil is the end of the quarantine.
+	quarantinedUntil time.Time
 }
 
-func (e *entry) quarantined(now time.Time) bool { return e.live >= CrashBound && now.Before(e.until) }
+func (e *entry) quarantined(now time.Time) bool {
+	return e.uncleared >= CrashBound && now.Before(e.quarantinedUntil)
+}
 
-// Table counts crashes by digest; its zero value is empty. The caller serializes access to it.
+// Table counts crashes by request digest. Its zero value is empty. The caller serializes access to it.
 type Table struct {
 	entries map[uint64]*entry
 }
 
-// Refuses reports whether the digest is quarantined; crashes is the count that travelled with the call. A send that is
-// refused restarts the quarantine.
+// Refuses reports whether a call with the digest must be refused; crashes is the count received with the call. A refused send
+// of a quarantined digest restarts its quarantine.
 func (t *Table) Refuses(now time.Time, digest uint64, crashes int) bool {
 	e := t.lookup(now, digest)
 	if e == nil || !e.quarantined(now) {
 		return crashes >= CrashBound
 	}
-	e.last, e.until = now, now.Add(Period)
+	e.lastEvent, e.quarantinedUntil = now, now.Add(Period)
 	return true
 }
 
-// Crashed records a crash of the own backend server with these digests in flight and returns the reports to spread.
+// Crashed records a crash of the node's own backend server with these digests in flight, and returns the reports to gossip.
 func (t *Table) Crashed(now time.Time, crash string, digests []uint64) []Report {
 	var reports []Report
 	for _, digest := range digests {
@@ -76,10 +78,10 @@
 	return reports
 }
 
-// Answered records a good answer and returns reports to spread when the digest was suspect.
+// Answered records a good answer, which clears the crashes of the digest, and returns the reports to gossip.
 func (t *Table) Answered(now time.Time, digest uint64) []Report {
 	e := t.lookup(now, digest)
-	if e == nil || e.live == 0 {
+	if e == nil || e.uncleared == 0 {
 		return nil
 	}
 	var reports []Report
@@ -89,14 +91,15 @@
 			reports = append(reports, Report{Digest: digest, Crash: c.id, Cleared: true})
 		}
 	}
-	e.live, e.last = 0, now
+	e.uncleared, e.lastEvent = 0, now
 	return reports
 }
 
-// Merge takes a report from another node and reports whether it was new. For each crash "cleared" wins over "crashed", so
-// that reports give the same counts in any order and any number; a good answer clears only crashes known where it was seen.
+// Merge adds a report to the table and returns whether it was new. For each crash, "cleared" takes precedence over "crashed",
+// so that reports give the same counts in any order and when repeated. A good answer clears only the crashes that are known
+// to the node that received it.
 func (t *Table) Merge(now time.Time, r Report) bool {
-	if r.Crash == "" || len(r.Crash) > maxCrashID {
+	if r.Crash == "" || len(r.Crash) > maxCrashIDBytes {
 		return false
 	}
 	e := t.lookup(now, r.Digest)
@@ -105,7 +108,7 @@
 	}
 	i := slices.IndexFunc(e.crashes, func(c crash) bool { return c.id == r.Crash })
 	switch {
-	case i < 0 && !e.room():
+	case i < 0 && !e.makeRoom():
 		return false
 	case i < 0:
 		e.crashes = append(e.crashes, crash{id: r.Crash, cleared: r.Cleared})
@@ -113,36 +116,36 @@
 		return false
 	default:
 		e.crashes[i].cleared = true
-		e.live--
+		e.uncleared--
 	}
-	e.last = now
+	e.lastEvent = now
 	if !r.Cleared {
-		e.live++
-		e.until = now.Add(Period)
+		e.uncleared++
+		e.quarantinedUntil = now.Add(Period)
 	}
 	return true
 }
 
-// Crashes returns the crashes counted for a digest, which is below CrashBound when its quarantine has ended.
+// Crashes returns the number of uncleared crashes of a digest. It is below CrashBound unless the digest is quarantined.
 func (t *Table) Crashes(now time.Time, digest uint64) int {
 	e := t.lookup(now, digest)
 	switch {
 	case e == nil:
 		return 0
 	case e.quarantined(now):
-		return e.live
+		return e.uncleared
 	default:
-		return min(e.live, CrashBound-1)
+		return min(e.uncleared, CrashBound-1)
 	}
 }
 
-// Len returns the number of digests that the table holds.
+// Len returns the number of digests in the table.
 func (t *Table) Len() int { return len(t.entries) }
 
-// room makes room for another crash by forgetting a cleared one, and reports false when there is none: the digest is then
-// quarantined anyway.
-func (e *entry) room() bool {
-	if len(e.crashes) < maxCrashes {
+// makeRoom ensures that another crash can be stored, if necessary by removing a cleared one. It returns false when all stored
+// crashes are uncleared: the digest then has reached CrashBound without another crash.
+func (e *entry) makeRoom() bool {
+	if len(e.crashes) < maxCrashesPerDigest {
 		return true
 	}
 	i := slices.IndexFunc(e.crashes, func(c crash) bool { return c.cleared })
@@ -153,10 +156,10 @@
 	return true
 }
 
-// lookup returns the entry of a digest, and nil for one whose crashes are too old to count.
+// lookup returns the entry of a digest, or nil. It removes an entry whose last event is at least CrashTTL ago.
 func (t *Table) lookup(now time.Time, digest uint64) *entry {
 	e, ok := t.entries[digest]
-	if ok && now.Sub(e.last) >= SuspectPeriod {
+	if ok && now.Sub(e.lastEvent) >= CrashTTL {
 		delete(t.entries, digest)
 		return nil
 	}
@@ -170,17 +173,17 @@
 	if len(t.entries) >= MaxDigests {
 		t.evict()
 	}
-	e := &entry{last: now}
+	e := &entry{lastEvent: now}
 	t.entries[digest] = e
 	return e
 }
 
-// evict forgets the digest with the fewest crashes that count, and of those the one with the oldest event.
+// evict removes the digest with the fewest uncleared crashes. The oldest last event breaks ties.
 func (t *Table) evict() {
 	var victim uint64
 	var least *entry
 	for digest, e := range t.entries {
-		if least == nil || e.live < least.live || e.live == least.live && e.last.Before(least.last) {
+		if least == nil || e.uncleared < least.uncleared || e.uncleared == least.uncleared && e.lastEvent.Before(least.lastEvent) {
 			victim, least = digest, e
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -14,7 +14,8 @@
 
 var start = time.Unix(1e6, 0)
 
-// Guards against a crashing request that is not refused, or is refused for longer or shorter than its quarantine.
+// Guards against a request that is not refused after CrashBound crashes, or is refused for longer or shorter than its
+// quarantine.
 func TestSecondCrashQuarantines(t *testing.T) {
 	var table quarantine.Table
 	require.False(t, table.Refuses(start, 7, 0))
@@ -22,37 +23,37 @@
 	require.Empty(t, table.Crashed(start, "a-1", []uint64{7}))
 	require.Equal(t, 1, table.Crashes(start, 7), "a crash counts once")
 	require.False(t, table.Refuses(start, 7, 1))
-	require.True(t, table.Refuses(start, 8, quarantine.CrashBound), "by the count that came with the call")
+	require.True(t, table.Refuses(start, 8, quarantine.CrashBound), "by the count received with the call")
 
 	require.True(t, table.Merge(start, quarantine.Report{Digest: 7, Crash: "b-1"}))
 	require.Equal(t, 2, table.Crashes(start, 7))
 	sent := start.Add(quarantine.Period - 1)
 	require.True(t, table.Refuses(sent, 7, 0))
-	require.True(t, table.Refuses(sent.Add(quarantine.Period-1), 7, 0), "the send before restarted it")
+	require.True(t, table.Refuses(sent.Add(quarantine.Period-1), 7, 0), "the previous send restarted the quarantine")
 	ended := sent.Add(2*quarantine.Period - 1)
 	require.False(t, table.Refuses(ended, 7, 0))
-	require.Equal(t, 1, table.Crashes(ended, 7), "the count that travels must not refuse it")
+	require.Equal(t, 1, table.Crashes(ended, 7), "the count sent with a call must not cause a refusal")
 
 	require.True(t, table.Merge(ended, quarantine.Report{Digest: 7, Crash: "c-1"}))
 	require.True(t, table.Refuses(ended, 7, 0), "one more crash is enough")
-	require.Zero(t, table.Crashes(ended.Add(quarantine.SuspectPeriod), 7))
+	require.Zero(t, table.Crashes(ended.Add(quarantine.CrashTTL), 7))
 	require.Zero(t, table.Len())
 }
 
-// Guards against the quarantine of a popular request that is merely in flight at crashes and is answered elsewhere.
+// Guards against the quarantine of a popular request that is only in flight at crashes and is answered elsewhere.
 func TestAnswersClearPopularRequests(t *testing.T) {
 	const popular, crasher = uint64(1), uint64(2)
 	var a, b quarantine.Table
 	exchange := func(from, to *quarantine.Table, reports []quarantine.Report) {
 		for _, r := range reports {
 			require.True(t, to.Merge(start, r))
-			require.False(t, from.Merge(start, r), "a report that comes back is not spread again")
+			require.False(t, from.Merge(start, r), "a report that returns is not gossiped again")
 		}
 	}
 	for n := range 20 {
 		exchange(&a, &b, a.Crashed(start, fmt.Sprint("a-", n), []uint64{popular, crasher}))
 		exchange(&b, &a, b.Answered(start, popular))
-		require.Empty(t, b.Answered(start, popular), "nothing new to spread")
+		require.Empty(t, b.Answered(start, popular), "no new reports to gossip")
 		for _, table := range []*quarantine.Table{&a, &b} {
 			require.False(t, table.Refuses(start, popular, table.Crashes(start, popular)))
 			require.Equal(t, n > 0, table.Refuses(start, crasher, 0))
@@ -60,7 +61,7 @@
 	}
 }
 
-// Guards against nodes that disagree because reports reached them in another order or more than once.
+// Guards against nodes that disagree because they received reports in a different order or more than once.
 func TestReportsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Report {
@@ -84,8 +85,8 @@
 	})
 }
 
-// Guards against a table that grows without bound or forgets a quarantined request before a suspect one.
-func TestTableForgetsTheLeastDangerous(t *testing.T) {
+// Guards against a table that grows without bound, or evicts a quarantined digest before one with fewer crashes.
+func TestTableEvictsDigestsWithFewestCrashes(t *testing.T) {
 	var table quarantine.Table
 	table.Crashed(start, "a-1", []uint64{1, 2})
 	table.Crashed(start, "a-2", []uint64{1})
@@ -94,15 +95,15 @@
 	}
 	require.Equal(t, quarantine.MaxDigests, table.Len())
 	require.True(t, table.Refuses(start, 1, 0))
-	require.Zero(t, table.Crashes(start, 2), "the oldest suspect goes first")
+	require.Zero(t, table.Crashes(start, 2), "the oldest digest with one crash is evicted first")
 	require.Equal(t, 1, table.Crashes(start, 2+quarantine.MaxDigests))
 
 	require.False(t, table.Merge(start, quarantine.Report{Digest: 1, Crash: strings.Repeat("x", 97)}))
 	for n := range 20 {
 		table.Crashed(start, fmt.Sprint("b-", n), []uint64{1})
 	}
-	require.Equal(t, 8, table.Crashes(start, 1), "crashes told apart for one digest")
+	require.Equal(t, 8, table.Crashes(start, 1), "maximum of distinct crashes for one digest")
 	require.Len(t, table.Answered(start, 1), 8)
 	require.NotEmpty(t, table.Crashed(start, "c-1", []uint64{1}))
-	require.Equal(t, 1, table.Crashes(start, 1), "cleared crashes make room for new ones")
+	require.Equal(t, 1, table.Crashes(start, 1), "new crashes replace cleared ones")
 }
