--- a/mesh/announce.go
+++ b/mesh/announce.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// recordTimeout bounds the time in which a leaving is put on record; the backend server waits a second for its answer.
-	recordTimeout = 800 * time.Millisecond
-	// recordRetry is the pause between attempts to write a row.
-	recordRetry = 300 * time.Millisecond
-	// nodesTable holds one row for each node, with its address as the key.
+	// departureTimeout limits the time to record a departure. It is less than the one second that the backend server waits
+	// for the response to its announcement.
+	departureTimeout = 800 * time.Millisecond
+	// writeRetryDelay is the longest delay between attempts to write a row.
+	writeRetryDelay = 300 * time.Millisecond
+	// nodesTable is the table with one row for each node, keyed by the address of the node.
 	nodesTable = "lovagelane-nodes"
 )
 
-// handleAnnouncement takes what the own backend server says of itself. A leaving is acknowledged once it is on record, so
-// that this node keeps to it after a restart too.
+// handleAnnouncement handles announcements of the own backend server. A departure is acknowledged only once it is recorded
+// in the store or at another node, so that this node still honours it after a restart.
 func (n *Node) handleAnnouncement(ctx *fasthttp.RequestCtx) {
 	a, err := n.deployment.ReadAnnouncement(ctx)
 	if err != nil {
@@ -36,16 +37,16 @@
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		return
 	}
-	if !n.hear(a) {
-		ctx.Error("the leaving is not on record yet: send it again", fasthttp.StatusServiceUnavailable)
+	if !n.applyAnnouncement(a) {
+		ctx.Error("the departure is not recorded yet: send the announcement again", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBodyString("{}")
 }
 
-// hear takes an announcement and reports whether it is acknowledged.
-func (n *Node) hear(a Announcement) bool {
+// applyAnnouncement applies an announcement and reports whether it may be acknowledged.
+func (n *Node) applyAnnouncement(a Announcement) bool {
 	n.mu.Lock()
 	current, _ := n.tracker.Current()
 	if a.Gone && a.Backend.Born == 0 {
@@ -55,37 +56,37 @@
 		}
 		a.Backend = current
 	}
-	heard := n.tracker.Hear(a.Backend, a.Sequence, a.Gone || a.Leaving)
-	if heard == directory.HeardNothing {
+	transition := n.tracker.Hear(a.Backend, a.Sequence, a.Gone || a.Leaving)
+	if transition == directory.HeardNothing {
 		current, state := n.tracker.Current()
-		recorded := state != directory.Leaving || current != a.Backend || n.recovery.recorded == current
+		recorded := state != directory.Leaving || current != a.Backend || n.recovery.recordedDeparture == current
 		n.mu.Unlock()
-		return recorded || n.record(a.Backend)
+		return recorded || n.recordDeparture(a.Backend)
 	}
-	n.backendChangedLocked(a)
-	kept := n.reviewBackendLocked()
+	n.setBackendLocked(a)
+	peers := n.backendStateChangedLocked()
 	n.mu.Unlock()
-	n.transport.Connect(kept)
+	n.transport.Connect(peers)
 	n.log.Info("backend-server-heard", "id", a.Backend.ID, "born", a.Backend.Born, "sequence", a.Sequence, "gone", a.Gone,
-		"leaving", a.Leaving, "serving", heard == directory.HeardServing, "before", current.ID)
-	if heard == directory.HeardLeaving {
-		return n.record(a.Backend)
+		"leaving", a.Leaving, "serving", transition == directory.HeardServing, "before", current.ID)
+	if transition == directory.HeardLeaving {
+		return n.recordDeparture(a.Backend)
 	}
-	n.transport.Broadcast(n.ownNews())
-	n.writeNodeSoon()
+	n.transport.Broadcast(n.selfUpdate())
+	n.writeOwnRowAsync()
 	return true
 }
 
-// ownNews tells other nodes what the own backend server has announced.
-func (n *Node) ownNews() []byte {
+// selfUpdate returns an encoded gossip message with the directory record of this node.
+func (n *Node) selfUpdate() []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	self := n.selfLocked()
-	return encode(notice{Node: &self})
+	return encode(gossipMessage{Node: &self})
 }
 
-// backendChangedLocked takes what a new or changed backend server states.
-func (n *Node) backendChangedLocked(a Announcement) {
+// setBackendLocked stores the slots and the service of an announcement.
+func (n *Node) setBackendLocked(a Announcement) {
 	if a.Slots > 0 {
 		n.slots = a.Slots
 	}
@@ -94,8 +95,8 @@
 	}
 }
 
-// limitLocked sets how many calls the own backend server runs at once.
-func (n *Node) limitLocked() {
+// updateLimitLocked sets the concurrency limit of the own backend server and opens its queue.
+func (n *Node) updateLimitLocked() {
 	_, state := n.tracker.Current()
 	if state != directory.Serving || !n.recovery.done {
 		return
@@ -107,40 +108,42 @@
 		}
 	}
 	n.queue.Open()
-	// Calls wait only while every slot is in use, so a higher limit starts them at the next end of a call at the latest.
-	n.applyAsync(n.queue.SetLimit(limit))
+	// Calls are queued only while all slots are in use, so a raised limit takes effect when a running call ends at the latest.
+	n.applyEventsAsync(n.queue.SetLimit(limit))
 }
 
-// applyAsync carries out what the queue decided; it must be called with the lock held.
-func (n *Node) applyAsync(events []slots.Event) {
-	if ends := n.applyLocked(n.clock.Now(), events); len(ends) > 0 {
+// applyEventsAsync applies queue events and runs their callbacks on another goroutine. The caller holds n.mu.
+func (n *Node) applyEventsAsync(events []slots.Event) {
+	if callbacks := n.applyEventsLocked(n.clock.Now(), events); len(callbacks) > 0 {
 		n.group.Go("tell", func(context.Context) error {
-			tell(ends)
+			runAll(callbacks)
 			return nil
 		})
 	}
 }
 
-// reviewBackendLocked follows a change of the own backend server: calls that wait for one that takes none go elsewhere at
-// once. It returns the nodes to keep connections to.
-func (n *Node) reviewBackendLocked() []string {
+// backendStateChangedLocked updates the queue and the candidates after a change of the own backend server. If it takes no
+// calls, its queued calls are returned at once so that they can go to other nodes. It returns the addresses of the nodes to
+// keep connections to.
+func (n *Node) backendStateChangedLocked() []string {
 	_, state := n.tracker.Current()
 	if state != directory.Serving {
-		n.applyAsync(n.queue.Close())
+		n.applyEventsAsync(n.queue.Close())
 	} else {
-		n.limitLocked()
+		n.updateLimitLocked()
 	}
-	return n.directoryChangedLocked()
+	return n.updateCandidatesLocked()
 }
 
-// record puts the leaving of the own backend server on record: in the store, or with other nodes while the store is away.
-func (n *Node) record(b directory.Incarnation) bool {
-	ctx, cancel := context.WithTimeout(n.group.Context(), recordTimeout)
+// recordDeparture records that the own backend server is leaving. It reports true once the record is in the store or
+// another node keeps it, whichever comes first.
+func (n *Node) recordDeparture(b directory.Incarnation) bool {
+	ctx, cancel := context.WithTimeout(n.group.Context(), departureTimeout)
 	defer cancel()
-	held := n.askToHold(b)
+	kept := n.replicateDeparture(b)
 	written := make(chan struct{})
 	n.group.Go("record-leaving", func(group context.Context) error {
-		if n.writeNode(group) {
+		if n.writeOwnRow(group) {
 			close(written)
 		}
 		return nil
@@ -148,43 +151,44 @@
 	where := "store"
 	select {
 	case <-written:
-	case <-held:
+	case <-kept:
 		where = "node"
 	case <-ctx.Done():
 		n.log.Warn("leaving-not-recorded", "id", b.ID)
 		return false
 	}
 	n.mu.Lock()
-	n.recovery.recorded = b
+	n.recovery.recordedDeparture = b
 	n.mu.Unlock()
 	n.log.Info("leaving-recorded", "id", b.ID, "where", where)
 	return true
 }
 
-// askToHold asks other nodes to keep a leaving; the channel is closed when one of them does.
-func (n *Node) askToHold(b directory.Incarnation) <-chan struct{} {
+// replicateDeparture sends a departure to other nodes. The channel is closed when the first one confirms that it keeps it.
+func (n *Node) replicateDeparture(b directory.Incarnation) <-chan struct{} {
 	n.mu.Lock()
-	held, ok := n.holds[b]
+	kept, ok := n.departureAcks[b]
 	if !ok {
-		held = make(chan struct{})
-		n.holds[b] = held
+		kept = make(chan struct{})
+		n.departureAcks[b] = kept
 	}
 	n.mu.Unlock()
-	n.transport.Broadcast(encode(notice{Hold: &leaving{Address: n.settings.CallsAddress, Backend: b}}))
-	return held
+	n.transport.Broadcast(encode(gossipMessage{KeepDeparture: &departure{Address: n.settings.CallsAddress, Backend: b}}))
+	return kept
 }
 
-// writeNodeSoon has the row of this node written while the caller goes on.
-func (n *Node) writeNodeSoon() {
+// writeOwnRowAsync writes the row of this node in the background.
+func (n *Node) writeOwnRowAsync() {
 	n.group.Go("write-node", func(ctx context.Context) error {
-		n.writeNode(ctx)
+		n.writeOwnRow(ctx)
 		return nil
 	})
 }
 
-// writeNode writes the row of this node until it stands in the store, and reports whether it does. Each write expects the
-// version that is known, so that one whose answer was lost and that takes effect late can't undo a later one.
-func (n *Node) writeNode(ctx context.Context) bool {
+// writeOwnRow writes the row of this node and retries until the store holds its current state or ctx ends. It reports
+// whether the store holds it. Each write is conditional on the known version of the row, so that a write whose answer was
+// lost and that takes effect late can't overwrite a later one.
+func (n *Node) writeOwnRow(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		n.mu.Lock()
 		self := n.selfLocked()
@@ -209,15 +213,15 @@
 				continue
 			}
 		}
-		wait(ctx, n.rand.Jitter(recordRetry, 0.5))
+		sleep(ctx, n.rand.Jitter(writeRetryDelay, 0.5))
 	}
 	return false
 }
 
-// forget removes the rows of nodes of the own region that could not be reached for so long that they are taken to have ended
-// without a word. One that lives after all sees that its row is gone and writes it again. Nodes of other regions are left to
-// their own region, since regions may be apart for long.
-func (n *Node) forget(ctx context.Context, after time.Duration) {
+// removeUnreachable removes the rows of nodes of the own region that have been unreachable for at least the given time: they
+// are assumed to have stopped without deregistering. A node that still runs writes its row again when it sees that it was
+// removed. Nodes of other regions are not removed here, since a partition between regions may last long.
+func (n *Node) removeUnreachable(ctx context.Context, after time.Duration) {
 	n.mu.Lock()
 	nodes := n.directory.Nodes()
 	n.mu.Unlock()
@@ -225,8 +229,8 @@
 		if node.Region != n.settings.Region || node.Address == n.settings.CallsAddress {
 			continue
 		}
-		silent := n.transport.Unreachable(node.Address)
-		if silent < after {
+		unreachableFor := n.transport.Unreachable(node.Address)
+		if unreachableFor < after {
 			continue
 		}
 		n.mu.Lock()
@@ -240,14 +244,14 @@
 			n.log.Warn("node-not-forgotten", "node", node.Address, "error", err)
 			continue
 		}
-		n.log.Info("node-forgotten", "node", node.Address, "service", node.Service, "silent", silent)
+		n.log.Info("node-forgotten", "node", node.Address, "service", node.Service, "silent", unreachableFor)
 		entry.Version, entry.Removed = version, true
 		n.mergeRows([]directory.Entry{entry})
 	}
 }
 
-// removeNode removes the row of this node, as its backend server has left.
-func (n *Node) removeNode(ctx context.Context) {
+// removeOwnRow removes the row of this node, whose backend server is leaving.
+func (n *Node) removeOwnRow(ctx context.Context) {
 	n.mu.Lock()
 	entry, known := n.directory.Entry(n.settings.CallsAddress)
 	n.mu.Unlock()
--- a/mesh/backend.go
+++ b/mesh/backend.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// backendDialTimeout bounds a connection attempt to the own backend server, which is on the same instance.
+	// backendDialTimeout limits a connection attempt to the own backend server, which is on the same instance.
 	backendDialTimeout = 500 * time.Millisecond
-	// backendIdle is how long a connection may be idle when the backend server states no time of its own.
-	backendIdle = 4 * time.Second
-	// idleShare is the part of the idle time that the backend server states after which a connection is not used again.
-	idleShare = 0.7
-	// freshIdle is how long a connection may be idle for a call that must not be repeated: a backend server that has
-	// dropped the connection meanwhile would leave it open whether the call has run.
-	freshIdle = 500 * time.Millisecond
-	// maxStrayAnswers is the number of answers to other requests that are passed over on a connection.
+	// defaultBackendIdleTimeout is the idle timeout of a connection if the backend server states none.
+	defaultBackendIdleTimeout = 4 * time.Second
+	// idleTimeoutShare is the part of the backend server's idle timeout after which the node does not reuse a connection.
+	idleTimeoutShare = 0.7
+	// nonIdempotentIdleTimeout is how long a connection may be idle before a non-idempotent call uses it. If the backend
+	// server has closed the connection meanwhile, the node cannot tell whether the call has run, and must not repeat it.
+	nonIdempotentIdleTimeout = 500 * time.Millisecond
+	// maxStrayAnswers is the number of answers to other requests that are skipped during one exchange.
 	maxStrayAnswers = 2
-	// crashCheckPause is the time after which a backend server that reset a connection is checked for a crash.
-	crashCheckPause = 20 * time.Millisecond
+	// crashCheckDelay is the delay between a lost connection and the check whether the backend server has crashed.
+	crashCheckDelay = 20 * time.Millisecond
 )
 
-// backend is the own backend server.
+// backend is a client of the own backend server with a pool of idle connections.
 type backend struct {
 	n       *Node
 	address string
@@ -42,43 +42,44 @@
 	idle []*backendConn
 }
 
-// backendConn is a connection to the own backend server, which carries one call at a time.
+// backendConn is a connection to the own backend server. It carries one call at a time.
 type backendConn struct {
-	c    net.Conn
-	r    *bufio.Reader
-	used time.Time
-	// keep is how long the connection may be idle.
-	keep time.Duration
-	once sync.Once
+	c        net.Conn
+	r        *bufio.Reader
+	lastUsed time.Time
+	// idleTimeout is how long the connection may be idle.
+	idleTimeout time.Duration
+	closeOnce   sync.Once
 }
 
-func (k *backendConn) close() { k.once.Do(func() { _ = k.c.Close() }) }
+func (k *backendConn) close() { k.closeOnce.Do(func() { _ = k.c.Close() }) }
 
-// exchanged is what became of a call at the backend server.
-type exchanged struct {
-	end    end
-	why    string
-	status int
-	head   []byte
-	body   []byte
-	// lost is set when the connection broke while the call may have been running.
-	lost bool
-	// crashed is set when the backend server ended meanwhile.
+// exchangeResult is the result of a call at the backend server.
+type exchangeResult struct {
+	outcome outcome
+	reason  string
+	status  int
+	head    []byte
+	body    []byte
+	// connectionLost is set when the connection broke while the call may have been running.
+	connectionLost bool
+	// crashed is set when the backend server crashed during the call.
 	crashed bool
-	// refused is set when nothing listens at the backend server's address.
-	refused bool
+	// backendGone is set when nothing listens at the backend server's address or another backend server answers there.
+	backendGone bool
 }
 
 func newBackend(n *Node, address string) *backend { return &backend{n: n, address: address} }
 
-// take returns an idle connection that is still good, or opens one.
-func (b *backend) take(now time.Time, longest time.Duration) (*backendConn, bool, error) {
+// acquire returns an idle connection that may be reused and was idle for less than maxIdle, or opens one. It reports whether
+// the connection is reused.
+func (b *backend) acquire(now time.Time, maxIdle time.Duration) (*backendConn, bool, error) {
 	for {
-		k := b.pop()
+		k := b.popIdle()
 		if k == nil {
 			break
 		}
-		if idle := now.Sub(k.used); idle < k.keep && idle < longest && k.clean() {
+		if idle := now.Sub(k.lastUsed); idle < k.idleTimeout && idle < maxIdle && k.isClean() {
 			return k, true, nil
 		}
 		k.close()
@@ -88,10 +89,10 @@
 		return nil, false, err
 	}
 	b.n.metrics.Add("backend-connections", 1)
-	return &backendConn{c: c, r: bufio.NewReaderSize(c, maxHeaders), keep: backendIdle}, false, nil
+	return &backendConn{c: c, r: bufio.NewReaderSize(c, maxHeaderBytes), idleTimeout: defaultBackendIdleTimeout}, false, nil
 }
 
-func (b *backend) pop() *backendConn {
+func (b *backend) popIdle() *backendConn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.idle) == 0 {
@@ -102,16 +103,16 @@
 	return k
 }
 
-// put keeps a connection for the next call.
-func (b *backend) put(now time.Time, k *backendConn) {
-	k.used = now
+// pushIdle adds a connection to the idle ones.
+func (b *backend) pushIdle(now time.Time, k *backendConn) {
+	k.lastUsed = now
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.idle = append(b.idle, k)
 }
 
-// drop closes all idle connections.
-func (b *backend) drop() {
+// closeIdle closes all idle connections.
+func (b *backend) closeIdle() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, k := range b.idle {
@@ -120,13 +121,13 @@
 	b.idle = nil
 }
 
-// trim closes connections that have been idle for too long.
-func (b *backend) trim(now time.Time) {
+// closeExpired closes connections whose idle timeout has passed.
+func (b *backend) closeExpired(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	kept := b.idle[:0]
 	for _, k := range b.idle {
-		if now.Sub(k.used) < k.keep {
+		if now.Sub(k.lastUsed) < k.idleTimeout {
 			kept = append(kept, k)
 		} else {
 			k.close()
@@ -136,8 +137,9 @@
 	b.idle = kept
 }
 
-// clean reports whether nothing has arrived on an idle connection: bytes after an answer belong to no request.
-func (k *backendConn) clean() bool {
+// isClean reports whether an idle connection is open and has no unread bytes. Bytes after an answer belong to no request, so
+// that such a connection can't be reused.
+func (k *backendConn) isClean() bool {
 	if k.r.Buffered() > 0 {
 		return false
 	}
@@ -149,122 +151,126 @@
 	if err != nil {
 		return false
 	}
-	pending, gone := hangup.Peek(raw)
-	return !pending && !gone
+	pending, closed := hangup.Peek(raw)
+	return !pending && !closed
 }
 
 // exchange sends a call to the backend server with the given id and reads its answer.
-func (b *backend) exchange(j *job, id string, remaining time.Duration) exchanged {
+func (b *backend) exchange(j *job, id string, remaining time.Duration) exchangeResult {
 	h, err := parseRequestHead(j.m.Head)
 	if err != nil {
-		return exchanged{end: endExpired, why: "head-unreadable"}
+		return exchangeResult{outcome: outcomeExpired, reason: "head-unreadable"}
 	}
 	b.n.deployment.Prepare(h, Passed{Remaining: remaining, Backend: id, Caller: j.m.Caller})
-	longest := backendIdle
+	maxIdle := defaultBackendIdleTimeout
 	if !j.m.Idempotent {
-		longest = freshIdle
+		maxIdle = nonIdempotentIdleTimeout
 	}
-	k, reused, err := b.take(b.n.clock.Now(), max(longest, freshIdle))
+	k, reused, err := b.acquire(b.n.clock.Now(), max(maxIdle, nonIdempotentIdleTimeout))
 	if err != nil {
-		return exchanged{end: endUnusable, why: "backend-server-unreachable", refused: errors.Is(err, link.ErrRefused)}
+		return exchangeResult{outcome: outcomeUnusable, reason: "backend-server-unreachable",
+			backendGone: errors.Is(err, link.ErrRefused)}
 	}
 	if !b.n.attach(j, k) {
 		k.close()
-		return exchanged{end: endBusy, why: "cancelled"}
+		return exchangeResult{outcome: outcomeBusy, reason: "cancelled"}
 	}
-	x := b.talk(j, k, h, remaining)
-	if x.lost && reused {
-		x.why += "-on-kept-connection"
+	x := b.roundTrip(j, k, h, remaining)
+	if x.connectionLost && reused {
+		x.reason += "-on-kept-connection"
 	}
 	return x
 }
 
-// attach ties a call to its connection, so that a cancellation closes it; it reports false when the call is cancelled.
+// attach sets the connection of a job, so that a cancellation closes it. It reports false if the job is already cancelled.
 func (n *Node) attach(j *job, k *backendConn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	j.exchange = k
+	j.conn = k
 	return !j.cancelled
 }
 
-// talk writes a request and reads the answer that belongs to it.
-func (b *backend) talk(j *job, k *backendConn, h *fasthttp.RequestHeader, remaining time.Duration) exchanged {
+// roundTrip writes a request and reads the answer with its request id.
+func (b *backend) roundTrip(j *job, k *backendConn, h *fasthttp.RequestHeader, remaining time.Duration) exchangeResult {
 	if err := k.c.SetDeadline(time.Now().Add(remaining + answerMargin)); err != nil {
 		k.close()
-		return exchanged{end: endLost, why: "connection-closed", lost: true}
+		return exchangeResult{outcome: outcomeLost, reason: "connection-closed", connectionLost: true}
 	}
 	request := append(h.Header(), j.m.Body...)
-	// A backend server may answer and close before it has read the body: its answer counts although the rest is not taken.
-	_, unsent := k.c.Write(request)
+	// A backend server may answer and close before it has read the whole body. Its answer is valid despite the write error.
+	_, writeErr := k.c.Write(request)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	resp.SkipBody = h.IsHead()
 	for range maxStrayAnswers + 1 {
-		if err := resp.ReadLimitBody(k.r, maxBody); err != nil {
+		if err := resp.ReadLimitBody(k.r, maxBodyBytes); err != nil {
 			k.close()
-			return lostExchange(err)
+			return readFailure(err)
 		}
 		reply := b.n.deployment.ReadAnswer(&resp.Header)
 		if reply.ID == j.m.RequestID || reply.ID == "" {
-			if unsent != nil {
+			if writeErr != nil {
 				resp.SetConnectionClose()
 			}
-			return b.judge(j, k, resp, reply)
+			return b.classifyAnswer(j, k, resp, reply)
 		}
 		b.n.log.Warn("stray-answer", "request", j.m.RequestID, "answer-to", reply.ID)
 	}
 	k.close()
-	return exchanged{end: endLost, why: "stray-answers"}
+	return exchangeResult{outcome: outcomeLost, reason: "stray-answers"}
 }
 
-func lostExchange(err error) exchanged {
+func readFailure(err error) exchangeResult {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return exchanged{end: endLost, why: "backend-server-timeout"}
+		return exchangeResult{outcome: outcomeLost, reason: "backend-server-timeout"}
 	}
-	return exchanged{end: endLost, why: "backend-server-broke-off", lost: true}
+	return exchangeResult{outcome: outcomeLost, reason: "backend-server-broke-off", connectionLost: true}
 }
 
-// judge turns an answer into the end of a call and keeps the connection when it can carry another one.
-func (b *backend) judge(j *job, k *backendConn, resp *fasthttp.Response, reply Reply) exchanged {
-	b.keep(k, resp, reply)
+// classifyAnswer converts an answer to an exchangeResult and releases the connection.
+func (b *backend) classifyAnswer(j *job, k *backendConn, resp *fasthttp.Response, reply Reply) exchangeResult {
+	b.release(k, resp, reply)
 	switch {
 	case reply.OtherBackend:
-		return exchanged{end: endRejected, why: "other-backend-server", status: resp.StatusCode(), refused: true}
+		return exchangeResult{outcome: outcomeRejected, reason: "other-backend-server", status: resp.StatusCode(), backendGone: true}
 	case reply.NotRun:
-		return exchanged{end: endRejected, why: "backend-server", status: resp.StatusCode()}
+		return exchangeResult{outcome: outcomeRejected, reason: "backend-server", status: resp.StatusCode()}
 	case !reply.Stamped || reply.ID == "":
 		b.n.log.Warn("answer-not-stamped", "request", j.m.RequestID, "status", resp.StatusCode(), "id", reply.ID)
-		return exchanged{end: endLost, why: "answer-not-stamped"}
+		return exchangeResult{outcome: outcomeLost, reason: "answer-not-stamped"}
 	}
-	return exchanged{end: endAnswered, status: resp.StatusCode(), head: answerHead(&resp.Header), body: bytes.Clone(resp.Body())}
+	return exchangeResult{outcome: outcomeAnswered, status: resp.StatusCode(), head: answerHead(&resp.Header),
+		body: bytes.Clone(resp.Body())}
 }
 
-// keep returns a connection to the idle ones unless it is closing or holds bytes that belong to no request.
-func (b *backend) keep(k *backendConn, resp *fasthttp.Response, reply Reply) {
+// release returns a connection to the idle ones. It closes it if the answer asks for that, if there are unread bytes, which
+// belong to no request, or if the answer is neither signed nor marked as not run.
+func (b *backend) release(k *backendConn, resp *fasthttp.Response, reply Reply) {
 	if resp.ConnectionClose() || k.r.Buffered() > 0 || !reply.Stamped && !reply.NotRun {
 		k.close()
 		return
 	}
 	if reply.IdleTimeout > 0 {
-		k.keep = time.Duration(idleShare * float64(reply.IdleTimeout))
+		k.idleTimeout = time.Duration(idleTimeoutShare * float64(reply.IdleTimeout))
 	}
-	b.put(b.n.clock.Now(), k)
+	b.pushIdle(b.n.clock.Now(), k)
 }
 
-// noteLost finds out whether the backend server ended while a call ran, and records the calls that were running then.
-func (n *Node) noteLost(j *job, current directory.Incarnation, x exchanged) bool {
-	if j.isCancelled() || x.why == "backend-server-timeout" {
+// checkCrash reports whether the backend server crashed during a call whose connection was lost: it is taken as crashed if it
+// can't be reached after crashCheckDelay. The calls in flight are then recorded as suspects.
+func (n *Node) checkCrash(j *job, current directory.Incarnation, x exchangeResult) bool {
+	if j.isCancelled() || x.reason == "backend-server-timeout" {
 		return false
 	}
-	pause := time.NewTimer(crashCheckPause)
+	pause := time.NewTimer(crashCheckDelay)
 	<-pause.C
 	c, err := link.Dial(n.backend.address, backendDialTimeout)
 	if err == nil {
 		_ = c.Close()
 		return false
 	}
-	n.backendLost(current, "refused")
+	n.handleBackendLoss(current, "refused")
 	return true
 }
 
@@ -274,8 +280,8 @@
 	return j.cancelled
 }
 
-// backendLost records that the backend server has ended, and tells other nodes which requests it was running.
-func (n *Node) backendLost(b directory.Incarnation, why string) {
+// handleBackendLoss marks the backend server as lost and reports the requests that it was running to other nodes.
+func (n *Node) handleBackendLoss(b directory.Incarnation, reason string) {
 	now := n.clock.Now()
 	n.mu.Lock()
 	current, _ := n.tracker.Current()
@@ -289,22 +295,22 @@
 			digests = append(digests, j.m.Digest)
 		}
 	}
-	reports := n.poison.Crashed(now, b.ID+"@"+time.UnixMilli(b.Born).UTC().Format(time.RFC3339Nano), digests)
-	kept := n.directoryChangedLocked()
+	reports := n.quarantine.Crashed(now, b.ID+"@"+time.UnixMilli(b.Born).UTC().Format(time.RFC3339Nano), digests)
+	peers := n.updateCandidatesLocked()
 	n.mu.Unlock()
-	n.transport.Connect(kept)
-	n.backend.drop()
-	n.log.Warn("backend-server-lost", "id", b.ID, "why", why, "running", len(digests))
+	n.transport.Connect(peers)
+	n.backend.closeIdle()
+	n.log.Warn("backend-server-lost", "id", b.ID, "why", reason, "running", len(digests))
 	n.metrics.Add("backend-server-losses", 1)
 	if len(reports) > 0 {
-		n.transport.Broadcast(encode(notice{Crashes: reports}))
+		n.transport.Broadcast(encode(gossipMessage{Crashes: reports}))
 	}
 }
 
-// runLater runs a job on a goroutine of its own when all workers are busy.
-func (n *Node) runLater(j *job) func(ctx context.Context) error {
+// runTask returns a task that runs a job on its own goroutine, for when all workers are busy.
+func (n *Node) runTask(j *job) func(ctx context.Context) error {
 	return func(context.Context) error {
-		n.run(j)
+		n.runJob(j)
 		return nil
 	}
 }
--- a/mesh/carry.go
+++ b/mesh/carry.go
@@ -8,113 +8,116 @@
 )
 
 const (
-	// maxHops bounds the nodes that are asked for one request.
-	maxHops = 8
-	// minRetryAfter is the shortest time after which a refused request may come back.
+	// maxNodesTried limits the calls that are sent to nodes for one request.
+	maxNodesTried = 8
+	// minRetryAfter is the shortest Retry-After of a refused request, and the time that must be left until the deadline for a
+	// repeat.
 	minRetryAfter = 200 * time.Millisecond
-	// noRoomRetry is when a request may come back that found no backend server of its service.
-	noRoomRetry = time.Second
+	// noBackendRetryAfter is the Retry-After if no node reported a queue wait, as when the service has no backend server.
+	noBackendRetryAfter = time.Second
 )
 
-// carry sends a request to backend servers until one has run it or no other may be tried.
-func (n *Node) carry(r *request) result {
-	if n.quarantined(r.digest) {
-		return refusedResult{why: "quarantined", retryAfter: longestWait}
+// forward sends a request to one node after another until a backend server has run it or no other node may be tried.
+func (n *Node) forward(r *request) result {
+	if n.isQuarantined(r.digest) {
+		return refusedResult{reason: "quarantined", retryAfter: defaultTimeout}
 	}
-	for r.hops < maxHops {
+	for r.nodesTried < maxNodesTried {
 		now := n.clock.Now()
 		if !now.Before(r.deadline) {
-			return r.refused("deadline")
+			return r.refusal("deadline")
 		}
 		choice, ok := n.choose(now, r)
 		if !ok && r.capped {
-			return r.refused("short-below")
+			return r.refusal("short-below")
 		}
 		if !ok {
-			return r.refused("no-room")
+			return r.refusal("no-room")
 		}
-		r.hops++
-		answer, lost := n.attempt(now, r, choice)
-		if lost != nil {
-			return lost
+		r.nodesTried++
+		answer, failure := n.attempt(now, r, choice)
+		if failure != nil {
+			return failure
 		}
-		n.learn(r, choice.Address, answer)
-		if res := n.next(r, choice, answer); res != nil {
+		n.reportOutcome(r, choice.Address, answer)
+		if res := n.handleAnswer(r, choice, answer); res != nil {
 			return res
 		}
 	}
-	return r.refused("no-room")
+	return r.refusal("no-room")
 }
 
-// next returns how the request ends after an attempt, or nil when another backend server is to be tried.
-func (n *Node) next(r *request, choice dispatch.Choice, a answerMessage) result {
-	switch a.End {
-	case endAnswered:
-		return served{a}
-	case endBusy:
-		r.busy(choice, a)
-	case endUnusable:
+// handleAnswer returns the result of the request after an attempt, or nil if another node is to be tried.
+func (n *Node) handleAnswer(r *request, choice dispatch.Choice, a answerMessage) result {
+	switch a.Outcome {
+	case outcomeAnswered:
+		return servedResult{a}
+	case outcomeBusy:
+		r.recordBusy(choice, a)
+	case outcomeUnusable:
 		r.excluded = r.excluded.With(choice.Address)
-	case endQuarantined:
-		return r.refused("quarantined")
-	case endCapped:
-		// Another region may have room below, and one way there costs less than the ways of all nested calls.
+	case outcomeQuarantined:
+		return r.refusal("quarantined")
+	case outcomeCapped:
+		// The services further down the call graph may have capacity in another region. One call there costs less than
+		// sending all nested calls there.
 		r.capped = true
 		r.excluded = r.excluded.With(choice.Address)
-	case endExpired:
-		return r.refused("deadline")
-	case endRejected:
+	case outcomeExpired:
+		return r.refusal("deadline")
+	case outcomeRejected:
 		r.excluded = r.excluded.With(choice.Address)
-		if !n.mayRepeat(r) {
-			return r.refused("rejected-" + a.Why)
+		if !n.takeRepeat(r) {
+			return r.refusal("rejected-" + a.Reason)
 		}
-	case endLost:
+	case outcomeLost:
 		r.mayHaveRun = true
 		r.excluded = r.excluded.With(choice.Address)
-		if !r.route.Idempotent || a.Crashed || !n.mayRepeat(r) {
-			return failedResult{why: a.Why}
+		if !r.route.Idempotent || a.Crashed || !n.takeRepeat(r) {
+			return failedResult{reason: a.Reason}
 		}
 	}
 	return nil
 }
 
-// busy notes that a node had no room in time. It is asked again only if the request may wait there longer than before.
-func (r *request) busy(choice dispatch.Choice, a answerMessage) {
+// recordBusy records that no slot became free in time at a node. The node is tried again only if the request may wait there
+// longer than before.
+func (r *request) recordBusy(choice dispatch.Choice, a answerMessage) {
 	waited := time.Duration(a.WaitedMicros) * time.Microsecond
 	r.waited += waited
-	if wait := a.Load.slots().Wait; r.shortest == 0 || wait < r.shortest {
-		r.shortest = max(wait, minRetryAfter)
+	if wait := a.Load.slots().Wait; r.shortestWait == 0 || wait < r.shortestWait {
+		r.shortestWait = max(wait, minRetryAfter)
 	}
-	if waited >= choice.Wait || r.offered[choice.Address] >= choice.Wait {
+	if waited >= choice.Wait || r.offeredWait[choice.Address] >= choice.Wait {
 		r.excluded = r.excluded.With(choice.Address)
 	}
-	if r.offered == nil {
-		r.offered = map[string]time.Duration{}
+	if r.offeredWait == nil {
+		r.offeredWait = map[string]time.Duration{}
 	}
-	r.offered[choice.Address] = choice.Wait
+	r.offeredWait[choice.Address] = choice.Wait
 }
 
-// refused is the end of a request that no backend server takes any more. Once one may have run it, the caller must not be
-// told that it has not run.
-func (r *request) refused(why string) result {
+// refusal returns the result of a request for which no other node may be tried. A request that may have run must not be
+// reported to the caller as not run, so it is a failedResult.
+func (r *request) refusal(reason string) result {
 	switch {
 	case r.mayHaveRun:
-		return failedResult{why: why}
-	case r.shortest == 0:
-		return refusedResult{why: why, retryAfter: noRoomRetry}
+		return failedResult{reason: reason}
+	case r.shortestWait == 0:
+		return refusedResult{reason: reason, retryAfter: noBackendRetryAfter}
 	}
-	return refusedResult{why: why, retryAfter: r.shortest}
+	return refusedResult{reason: reason, retryAfter: r.shortestWait}
 }
 
 func (n *Node) choose(now time.Time, r *request) (dispatch.Choice, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.chooser.Choose(now, dispatch.Query{Service: r.service, Route: r.route.Name, Objective: r.route.Objective,
-		Exclude: r.excluded, Within: max(r.within-r.waited, 0)}, n.rand)
+		Exclude: r.excluded, Within: max(r.maxWait-r.waited, 0)}, n.rand)
 }
 
-// mayRepeat takes a repeat from the shared budget when the route allows another backend server.
-func (n *Node) mayRepeat(r *request) bool {
+// takeRepeat takes a repeat from the shared retry budget and reports whether the route and the budget allow it.
+func (n *Node) takeRepeat(r *request) bool {
 	now := n.clock.Now()
 	if r.sent >= r.route.MaxAttempts || r.deadline.Sub(now) < minRetryAfter {
 		return false
@@ -130,8 +133,8 @@
 	return ok
 }
 
-// learn tells the chooser what an attempt showed.
-func (n *Node) learn(r *request, address string, a answerMessage) {
+// reportOutcome passes the load and the outcome of an attempt to the chooser.
+func (n *Node) reportOutcome(r *request, address string, a answerMessage) {
 	now := n.clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -139,18 +142,18 @@
 		n.chooser.Report(now, address, a.Load.slots())
 	}
 	var o dispatch.Outcome
-	switch a.End {
-	case endAnswered:
+	switch a.Outcome {
+	case outcomeAnswered:
 		r.sent++
 		o = dispatch.Answered{Route: r.route.Name, Ran: time.Duration(a.RanMicros) * time.Microsecond}
-	case endCapped:
+	case outcomeCapped:
 		o = dispatch.Capped{Route: r.route.Name}
-	case endUnusable:
+	case outcomeUnusable:
 		o = dispatch.Unusable{}
-	case endRejected, endLost:
+	case outcomeRejected, outcomeLost:
 		r.sent++
 		o = dispatch.Failed{}
-		if a.unreachable {
+		if a.nodeUnreachable {
 			o = dispatch.Unusable{}
 		}
 	default:
@@ -159,8 +162,8 @@
 	n.chooser.Learn(now, address, o)
 }
 
-// attempt sends the request to one node and waits for the answer. It returns a result instead when the caller left or the
-// time ran out.
+// attempt sends the request to one node and waits for the answer. It returns a result instead if the caller disconnects or
+// the deadline passes.
 func (n *Node) attempt(now time.Time, r *request, choice dispatch.Choice) (answerMessage, result) {
 	m := callMessage{Service: r.service, Route: r.route.Name, RequestID: r.id, Caller: n.settings.Service, Rank: r.route.Rank,
 		Idempotent: r.route.Idempotent, RemainingMS: r.deadline.Sub(now).Milliseconds(),
@@ -173,51 +176,51 @@
 	timer := time.NewTimer(r.deadline.Add(answerMargin).Sub(now))
 	defer timer.Stop()
 	if choice.Address == n.settings.CallsAddress {
-		return n.attemptHere(m, r.gone, timer.C)
+		return n.attemptLocal(m, r.callerGone, timer.C)
 	}
 	p := n.transport.Peer(choice.Address).Call(encode(m))
 	select {
 	case res := <-p.Done:
-		return n.answerOf(res)
-	case <-r.gone:
+		return n.decodeAnswer(res)
+	case <-r.callerGone:
 		p.Cancel()
-		return answerMessage{}, failedResult{why: "caller-left"}
+		return answerMessage{}, failedResult{reason: "caller-left"}
 	case <-timer.C:
 		p.Cancel()
-		return answerMessage{}, failedResult{why: "timeout", timeout: true}
+		return answerMessage{}, failedResult{reason: "timeout", timeout: true}
 	}
 }
 
-// attemptHere runs the call at the own backend server.
-func (n *Node) attemptHere(m callMessage, gone <-chan struct{}, timeout <-chan time.Time) (answerMessage, result) {
+// attemptLocal submits the call to the own backend server and waits for the answer.
+func (n *Node) attemptLocal(m callMessage, callerGone <-chan struct{}, timeout <-chan time.Time) (answerMessage, result) {
 	done := make(chan answerMessage, 1)
 	j := n.submit(m, false, func(a answerMessage) { done <- a })
 	select {
 	case a := <-done:
 		return a, nil
-	case <-gone:
+	case <-callerGone:
 		j.cancel()
-		return answerMessage{}, failedResult{why: "caller-left"}
+		return answerMessage{}, failedResult{reason: "caller-left"}
 	case <-timeout:
 		j.cancel()
-		return answerMessage{}, failedResult{why: "timeout", timeout: true}
+		return answerMessage{}, failedResult{reason: "timeout", timeout: true}
 	}
 }
 
-// answerOf reads what came back from another node.
-func (n *Node) answerOf(res link.Result) (answerMessage, result) {
+// decodeAnswer converts the result of a call to another node to an answer.
+func (n *Node) decodeAnswer(res link.Result) (answerMessage, result) {
 	switch res := res.(type) {
 	case link.Answer:
 		var a answerMessage
 		if err := decode(res.Payload, &a); err != nil {
 			n.log.Error("answer-malformed", "error", err)
-			return answerMessage{End: endLost, Why: "answer-malformed"}, nil
+			return answerMessage{Outcome: outcomeLost, Reason: "answer-malformed"}, nil
 		}
 		return a, nil
 	case link.Lost:
 		if res.Sent {
-			return answerMessage{End: endLost, Why: "node-lost", unreachable: true}, nil
+			return answerMessage{Outcome: outcomeLost, Reason: "node-lost", nodeUnreachable: true}, nil
 		}
 	}
-	return answerMessage{End: endUnusable, Why: "node-unreachable"}, nil
+	return answerMessage{Outcome: outcomeUnusable, Reason: "node-unreachable"}, nil
 }
--- a/mesh/deployment.go
+++ b/mesh/deployment.go
@@ -13,66 +13,67 @@
 	"lovagelane/settings"
 )
 
-// Deployments holds the translations to the protocols of deployments by name.
+// Deployments is the registry of Deployment constructors by name.
 var Deployments kernel.Registry[func(settings.Mesh) (Deployment, error)]
 
-// Deployment translates between the protocols of a deployment and the mesh. It takes no decisions.
+// Deployment translates between the protocols of a deployment and the mesh. It contains no policy.
 type Deployment interface {
-	// Store is the operators' store.
+	// Store returns the client of the operators' store.
 	Store() Store
-	// ConfigRow names the row that holds the operators' configuration.
+	// ConfigRow returns the table and the key of the row that holds the operators' configuration.
 	ConfigRow() (table, key string)
-	// ReadConfig reads the operators' configuration.
+	// ReadConfig parses and validates the operators' configuration.
 	ReadConfig(value []byte) (*routing.Config, error)
-	// ReadyPath is the path of the question whether the node takes requests.
+	// ReadyPath returns the path of the readiness endpoint.
 	ReadyPath() string
-	// ReadRequest returns what a request says of itself.
+	// ReadRequest extracts the request id and the remaining time from the headers of a request.
 	ReadRequest(h *fasthttp.RequestHeader) Claims
 	// Prepare sets the headers that a backend server expects on a request.
 	Prepare(h *fasthttp.RequestHeader, p Passed)
-	// ReadAnswer returns what an answer of a backend server says of itself.
+	// ReadAnswer extracts metadata from the headers of a backend server's answer.
 	ReadAnswer(h *fasthttp.ResponseHeader) Reply
-	// ReadAnnouncement reads what a backend server says of itself.
+	// ReadAnnouncement parses a heartbeat or a deregistration of a backend server.
 	ReadAnnouncement(ctx *fasthttp.RequestCtx) (Announcement, error)
 }
 
-// Claims is what a request says of itself.
+// Claims is the metadata that a request carries in its headers.
 type Claims struct {
 	ID string
-	// Remaining is how long the caller will wait; zero means that it doesn't say.
+	// Remaining is the time until the caller's deadline, or zero if the request states none.
 	Remaining time.Duration
 }
 
-// Passed is what a backend server is told with a request.
+// Passed is the metadata that a node adds to a request before it sends it to its backend server.
 type Passed struct {
 	Remaining time.Duration
-	// Backend is the id of the backend server that the request is meant for.
+	// Backend is the id of the only backend server that may run the request.
 	Backend string
-	// Caller is the service beside which the request began.
+	// Caller is the service of the node where the request entered.
 	Caller string
 }
 
-// Reply is what an answer of a backend server says of itself.
+// Reply is the metadata that a backend server's answer carries in its headers.
 type Reply struct {
-	// ID is the id of the request that the answer belongs to; empty when it names none.
+	// ID is the id of the request that the answer belongs to, or empty if it names none.
 	ID string
-	// Stamped is set when the backend server vouches for the answer.
+	// Stamped is set when the answer carries the signature of the backend server.
 	Stamped bool
-	// NotRun is set when the backend server states that it has not run the request.
+	// NotRun is set when the backend server states that it did not run the request.
 	NotRun bool
-	// OtherBackend is set when another backend server has the address.
+	// OtherBackend is set when a backend server with another id answers at the address.
 	OtherBackend bool
-	// IdleTimeout is how long the backend server keeps the connection open without a request; zero when it doesn't say.
+	// IdleTimeout is how long the backend server keeps an idle connection open, or zero if the answer states nothing.
 	IdleTimeout time.Duration
 }
 
-// Announcement is what a backend server says of itself.
+// Announcement is a heartbeat or a deregistration of a backend server.
 type Announcement struct {
 	Backend directory.Incarnation
-	// Sequence grows with each announcement of an incarnation.
+	// Sequence increases with each announcement of an incarnation.
 	Sequence uint64
-	// Gone is set when the backend server ends its announcements.
-	Gone    bool
+	// Gone is set on a deregistration.
+	Gone bool
+	// Leaving is set while the backend server is draining: it takes no new calls.
 	Leaving bool
 	Service string
 	Address string
@@ -87,34 +88,34 @@
 	Removed bool
 }
 
-// Write is a change of a row under a condition.
+// Write is a write of one row, conditional on the version of the row if Expect is set.
 type Write struct {
 	Key   string
 	Value []byte
-	// Remove removes the row.
+	// Remove deletes the row; Value is ignored.
 	Remove bool
-	// Expect is the version that the row must have; 0 means that it must not exist. Without it the write is unconditional.
+	// Expect is the version that the row must have; 0 means that it must not exist. If unset, the write is unconditional.
 	Expect kernel.Option[uint64]
 }
 
-// Errors of a store. Any other error means that a write may have taken effect.
+// Errors of a store. After any other error, a write may have taken effect.
 var (
-	// ErrConflict means that a row has another version than expected, and that nothing was written.
-	ErrConflict = errors.New("the row has changed: read it again")
-	// ErrHistoryGone means that the changes that were asked for are not kept any more: list the table.
-	ErrHistoryGone = errors.New("the history is gone: list the table again")
-	// ErrUnavailable means that the store did nothing.
-	ErrUnavailable = errors.New("the store is not available: it is tried again")
+	// ErrConflict means that the row does not have the expected version and that nothing was written.
+	ErrConflict = errors.New("the row does not have the expected version: read it again")
+	// ErrHistoryGone means that the store no longer holds the requested changes; the table must be listed again.
+	ErrHistoryGone = errors.New("the store no longer holds the requested changes: list the table again")
+	// ErrUnavailable means that the store is not available and did not execute the operation.
+	ErrUnavailable = errors.New("the store is not available: the operation is retried")
 )
 
-// Store is a store of rows with a feed of changes.
+// Store is a client of the operators' store: tables of versioned rows with a change feed.
 type Store interface {
-	// Write changes one row of a table and returns the version of the store.
+	// Write writes one row of a table and returns the new version of the store.
 	Write(ctx context.Context, table string, w Write) (uint64, error)
-	// List returns all rows of a table as of a version.
+	// List returns all rows of a table and the version of the store at which they were read.
 	List(ctx context.Context, table string) ([]Row, uint64, error)
-	// Feed waits for changes after a version and returns them with the version to go on from.
+	// Feed waits for changes after a version and returns them with the version to pass to the next call.
 	Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]Row, uint64, error)
-	// Close ends the calls that wait for an answer.
+	// Close aborts the calls in flight.
 	Close()
 }
--- a/mesh/doc.go
+++ b/mesh/doc.go
@@ -1,9 +1,12 @@
-// Package mesh runs the node beside a backend server in a deployment whose requests carry their own ids and deadlines,
-// whose backend servers announce themselves, and whose nodes find each other through the operators' store.
+// Package mesh implements a sidecar node for deployments whose requests carry an id and a deadline, whose backend servers
+// send heartbeats to the node beside them, and whose nodes discover each other through the operators' store.
 //
-// A request enters at the node of its caller. That node matches the route, chooses a backend server and sends the call to
-// the node beside it, which alone decides what its backend server runs. A call that was not run goes to another node. What
-// the deployment calls things on the wire is up to a Deployment, which registers itself.
+// A request enters at the node of its caller. That node matches the route, selects a backend server by load and place, and
+// sends the call to the node beside that backend server. Only the receiving node decides what its backend server runs:
+// admission control and the queue are there. A call that was not run goes to another node, within the retry budget. Nodes
+// exchange the directory, the configuration and crash reports by gossip, so that they also work while the store is
+// unavailable. A Deployment translates between the deployment's protocols and this package; implementations register
+// themselves in Deployments.
 //
-// Lock order: Node.mu, then the locks of package link. A lock is never held over I/O.
+// Lock order: Node.mu, then the locks of package link. No lock is held during I/O.
 package mesh
--- a/mesh/gossip.go
+++ b/mesh/gossip.go
@@ -6,43 +6,45 @@
 	"lovagelane/directory"
 )
 
-// storeLead is how long the store is given to bring what another node knows already, before that node is asked.
-const storeLead = 400 * time.Millisecond
+// storeGrace is how long a node that is behind another one waits for the update from the store before it pulls from it.
+const storeGrace = 400 * time.Millisecond
 
 // Greeting implements link.Handler.
 func (n *Node) Greeting() []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return encode(greeting{Node: n.selfLocked(), Status: n.statusLocked()})
+	return encode(helloMessage{Node: n.selfLocked(), Versions: n.versionsLocked()})
 }
 
-// Greeted implements link.Handler: a node that has started learns from those that connect to it.
+// Greeted implements link.Handler. It returns a kept departure to the node that it belongs to and pulls newer state at once,
+// so that a node that has just started recovers from its peers.
 func (n *Node) Greeted(b []byte, reply func([]byte)) {
-	var g greeting
-	if err := decode(b, &g); err != nil {
+	var hello helloMessage
+	if err := decode(b, &hello); err != nil {
 		n.log.Warn("greeting-malformed", "error", err)
 		return
 	}
 	n.mu.Lock()
-	if n.recovery.greeted.IsZero() {
-		n.recovery.greeted = n.clock.Now()
+	if n.recovery.firstPeerAt.IsZero() {
+		n.recovery.firstPeerAt = n.clock.Now()
 	}
-	n.seenLocked(g.Node)
-	held, holding := n.directory.Held(g.Node.Address)
+	n.updateNodeLocked(hello.Node)
+	departed, ok := n.directory.Held(hello.Node.Address)
 	n.mu.Unlock()
-	if holding {
-		reply(encode(notice{Left: &leaving{Address: g.Node.Address, Backend: held}}))
+	if ok {
+		reply(encode(gossipMessage{RecordedDeparture: &departure{Address: hello.Node.Address, Backend: departed}}))
 	}
-	n.compare(g.Status, reply, 0)
+	n.pullIfBehind(hello.Versions, reply, 0)
 }
 
-// seenLocked takes what another node says of itself. One that has just started knows nothing of its backend server yet.
-func (n *Node) seenLocked(node directory.Node) {
+// updateNodeLocked applies the directory record that another node sent of itself. A record in state Absent is ignored: a node
+// that has just started has no announcement of its backend server yet.
+func (n *Node) updateNodeLocked(node directory.Node) {
 	if node.State == directory.Absent {
 		return
 	}
 	if n.directory.Seen(node) {
-		n.directoryChangedLocked()
+		n.updateCandidatesLocked()
 	}
 	if node.State == directory.Serving {
 		n.chooser.Usable(node.Address)
@@ -53,100 +55,101 @@
 func (n *Node) Status() []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return encode(n.statusLocked())
+	return encode(n.versionsLocked())
 }
 
-func (n *Node) statusLocked() status {
-	s := status{DirectoryVersion: n.directory.Version()}
+func (n *Node) versionsLocked() versions {
+	v := versions{DirectoryVersion: n.directory.Version()}
 	if cfg := n.config.Load(); cfg != nil {
-		s.ConfigVersion = cfg.Version()
+		v.ConfigVersion = cfg.Version()
 	}
-	return s
+	return v
 }
 
 // Heard implements link.Handler.
 func (n *Node) Heard(b []byte, reply func([]byte)) {
-	var s status
-	if err := decode(b, &s); err != nil {
+	var theirs versions
+	if err := decode(b, &theirs); err != nil {
 		n.log.Warn("status-malformed", "error", err)
 		return
 	}
-	n.compare(s, reply, storeLead)
+	n.pullIfBehind(theirs, reply, storeGrace)
 }
 
-// compare asks another node for what it knows more of, unless the store brings it within a time.
-func (n *Node) compare(theirs status, reply func([]byte), lead time.Duration) {
+// pullIfBehind pulls newer state from another node once this node has been behind it for at least the grace period.
+func (n *Node) pullIfBehind(theirs versions, reply func([]byte), grace time.Duration) {
 	now := n.clock.Now()
 	n.mu.Lock()
-	ours := n.statusLocked()
-	want := isBehind(&n.behind.config, now, lead, ours.ConfigVersion < theirs.ConfigVersion)
-	want = isBehind(&n.behind.directory, now, lead, ours.DirectoryVersion < theirs.DirectoryVersion) || want
+	ours := n.versionsLocked()
+	pull := behindLongerThan(&n.behindSince.config, now, grace, ours.ConfigVersion < theirs.ConfigVersion)
+	pull = behindLongerThan(&n.behindSince.directory, now, grace, ours.DirectoryVersion < theirs.DirectoryVersion) || pull
 	n.mu.Unlock()
-	if want {
-		reply(encode(notice{Want: &ours}))
+	if pull {
+		reply(encode(gossipMessage{PullSince: &ours}))
 	}
 }
 
-// isBehind notes since when a node is behind, and reports whether that is longer than the lead.
-func isBehind(since *time.Time, now time.Time, lead time.Duration, behind bool) bool {
+// behindLongerThan records when the node was first behind, and reports whether the grace period has passed since. The time is
+// reset when newer data is applied.
+func behindLongerThan(since *time.Time, now time.Time, grace time.Duration, behind bool) bool {
 	if !behind {
 		return false
 	}
 	if since.IsZero() {
 		*since = now
 	}
-	return now.Sub(*since) >= lead
+	return now.Sub(*since) >= grace
 }
 
 // Notice implements link.Handler.
 func (n *Node) Notice(b []byte, reply func([]byte)) {
-	var m notice
+	var m gossipMessage
 	if err := decode(b, &m); err != nil {
 		n.log.Warn("notice-malformed", "error", err)
 		return
 	}
-	if m.Want != nil {
-		n.tellNews(*m.Want, reply)
+	if m.PullSince != nil {
+		n.sendUpdates(*m.PullSince, reply)
 	}
 	if len(m.Rows) > 0 {
 		n.mergeRows(m.Rows)
 	}
 	if len(m.Config) > 0 {
-		n.adopt(m.Config, "node")
+		n.applyConfig(m.Config, "node")
 	}
-	if m.Hold != nil {
+	if m.KeepDeparture != nil {
 		n.mu.Lock()
-		n.directory.Hold(m.Hold.Address, m.Hold.Backend)
+		n.directory.Hold(m.KeepDeparture.Address, m.KeepDeparture.Backend)
 		n.mu.Unlock()
-		reply(encode(notice{Holding: m.Hold}))
+		reply(encode(gossipMessage{DepartureKept: m.KeepDeparture}))
 	}
-	if m.Holding != nil {
-		n.held(m.Holding.Backend)
+	if m.DepartureKept != nil {
+		n.confirmDeparture(m.DepartureKept.Backend)
 	}
-	if m.Left != nil && m.Left.Address == n.settings.CallsAddress {
-		n.log.Info("leaving-told", "id", m.Left.Backend.ID)
+	if m.RecordedDeparture != nil && m.RecordedDeparture.Address == n.settings.CallsAddress {
+		n.log.Info("leaving-told", "id", m.RecordedDeparture.Backend.ID)
 		n.mu.Lock()
-		n.leftLocked(m.Left.Backend)
+		n.setDepartedLocked(m.RecordedDeparture.Backend)
 		n.mu.Unlock()
 	}
 	if m.Node != nil {
 		n.mu.Lock()
-		n.seenLocked(*m.Node)
+		n.updateNodeLocked(*m.Node)
 		n.mu.Unlock()
 	}
 	if len(m.Crashes) > 0 {
 		n.mu.Lock()
 		for _, r := range m.Crashes {
-			n.poison.Merge(n.clock.Now(), r)
+			n.quarantine.Merge(n.clock.Now(), r)
 		}
 		n.mu.Unlock()
 	}
 }
 
-// tellNews sends what the other node lacks.
-func (n *Node) tellNews(theirs status, reply func([]byte)) {
+// sendUpdates sends the rows and the configuration that are newer than the versions of the other node.
+func (n *Node) sendUpdates(theirs versions, reply func([]byte)) {
 	n.mu.Lock()
-	var m notice
+	var m gossipMessage
 	if n.directory.Version() > theirs.DirectoryVersion {
 		m.Rows = n.directory.Since(theirs.DirectoryVersion)
 	}
@@ -157,22 +160,22 @@
 	reply(encode(m))
 }
 
-// held notes that another node keeps a leaving of the own backend server.
-func (n *Node) held(b directory.Incarnation) {
+// confirmDeparture signals that another node keeps a departure of the own backend server.
+func (n *Node) confirmDeparture(b directory.Incarnation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if held, ok := n.holds[b]; ok {
+	if acked, ok := n.departureAcks[b]; ok {
 		select {
-		case <-held:
+		case <-acked:
 		default:
-			close(held)
+			close(acked)
 		}
 	}
 }
 
-// quarantined reports whether a request crashes backend servers.
-func (n *Node) quarantined(digest uint64) bool {
+// isQuarantined reports whether requests with this digest are quarantined for crashing backend servers.
+func (n *Node) isQuarantined(digest uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.poison.Refuses(n.clock.Now(), digest, 0)
+	return n.quarantine.Refuses(n.clock.Now(), digest, 0)
 }
--- a/mesh/head.go
+++ b/mesh/head.go
@@ -10,12 +10,12 @@
 	"lovagelane/call"
 )
 
-// requestHead returns the request line and the headers of a request that are passed on.
+// requestHead returns the request line and the end-to-end headers of a request.
 func requestHead(h *fasthttp.RequestHeader, body int) []byte {
 	var out fasthttp.RequestHeader
 	h.CopyTo(&out)
 	out.SetNoDefaultContentType(true)
-	for _, name := range connectionTokens(h.Peek(fasthttp.HeaderConnection)) {
+	for _, name := range connectionOptions(h.Peek(fasthttp.HeaderConnection)) {
 		if !strings.EqualFold(name, fasthttp.HeaderHost) {
 			out.Del(name)
 		}
@@ -33,13 +33,13 @@
 	return bytes.Clone(out.Header())
 }
 
-// answerHead returns the status line and the headers of an answer that are passed on. Its length is kept, since an answer to
-// HEAD has one without a body.
+// answerHead returns the status line and the end-to-end headers of an answer. Content-Length is kept, since an answer to HEAD
+// has it without a body.
 func answerHead(h *fasthttp.ResponseHeader) []byte {
 	var out fasthttp.ResponseHeader
 	h.CopyTo(&out)
 	out.SetNoDefaultContentType(true)
-	for _, name := range connectionTokens(h.Peek(fasthttp.HeaderConnection)) {
+	for _, name := range connectionOptions(h.Peek(fasthttp.HeaderConnection)) {
 		out.Del(name)
 	}
 	for key := range h.All() {
@@ -51,8 +51,8 @@
 	return bytes.Clone(out.Header())
 }
 
-// connectionTokens returns what a Connection header lists.
-func connectionTokens(value []byte) []string {
+// connectionOptions returns the tokens of a Connection header.
+func connectionOptions(value []byte) []string {
 	var tokens []string
 	for token := range strings.SplitSeq(string(value), ",") {
 		if token = strings.TrimSpace(token); token != "" {
@@ -62,21 +62,21 @@
 	return tokens
 }
 
-// parseRequestHead reads what requestHead returned.
+// parseRequestHead parses the output of requestHead.
 func parseRequestHead(b []byte) (*fasthttp.RequestHeader, error) {
 	h := &fasthttp.RequestHeader{}
 	h.SetNoDefaultContentType(true)
 	return h, h.Read(headReader(b))
 }
 
-// parseAnswerHead reads what answerHead returned.
+// parseAnswerHead parses the output of answerHead.
 func parseAnswerHead(b []byte) (*fasthttp.ResponseHeader, error) {
 	h := &fasthttp.ResponseHeader{}
 	h.SetNoDefaultContentType(true)
 	return h, h.Read(headReader(b))
 }
 
-// headReader returns a reader whose buffer holds a whole head, as fasthttp needs it.
+// headReader returns a reader whose buffer holds the whole head, as fasthttp requires.
 func headReader(b []byte) *bufio.Reader {
 	return bufio.NewReaderSize(bytes.NewReader(b), len(b))
 }
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -29,81 +29,81 @@
 )
 
 const (
-	// tick is the period at which waiting calls and the connections of callers are looked over.
-	tick = 50 * time.Millisecond
-	// hangupTicks is the number of ticks after which the connections of waiting callers are checked.
-	hangupTicks = 3
-	// trimTicks is the number of ticks after which idle connections to the own backend server are closed.
-	trimTicks = 20
-	// maxBody bounds the body of a request or an answer that passes a node, in bytes. Bodies are held in memory, so that a
-	// call can be sent to another node.
-	maxBody = 8 << 20
-	// maxHeaders bounds the request line and the headers of a request, or the headers of an answer, in bytes.
-	maxHeaders = 20 << 10
-	// callerConnections bounds the connections of callers.
-	callerConnections = 2048
-	// announceConnections bounds the connections for announcements and for questions after readiness.
-	announceConnections = 64
-	// slowRequest is how long a caller may take to send a request.
-	slowRequest = 30 * time.Second
-	// callerIdle is how long a caller's connection may be idle. It is longer than callers keep theirs, so that none is
-	// closed as a request arrives on it.
-	callerIdle = 60 * time.Second
-	// workers bounds the calls that run at the own backend server at once, and queuedRuns those that wait for a worker.
-	workers    = 4096
-	queuedRuns = 4096
-	// forgetChecks is how often within that time a node checks whom it can't reach.
-	forgetChecks = 10
-	// abortTimeout bounds the wait for listeners to close when a node is ended at once.
+	// tickInterval is the period of the loop that expires queued calls, checks callers' connections and closes idle ones.
+	tickInterval = 50 * time.Millisecond
+	// disconnectCheckTicks is the number of ticks between two checks for callers that closed their connection.
+	disconnectCheckTicks = 3
+	// idleTrimTicks is the number of ticks between two passes that close expired connections to the own backend server.
+	idleTrimTicks = 20
+	// maxBodyBytes limits the body of a request or an answer. Bodies are buffered in memory so that a call can be sent to
+	// another node.
+	maxBodyBytes = 8 << 20
+	// maxHeaderBytes limits the request line and headers of a request, and the headers of an answer.
+	maxHeaderBytes = 20 << 10
+	// maxCallerConnections limits the connections of callers.
+	maxCallerConnections = 2048
+	// maxLocalConnections limits the connections of each of the announcement, readiness and admin listeners.
+	maxLocalConnections = 64
+	// requestReadTimeout is how long a caller may take to send a request.
+	requestReadTimeout = 30 * time.Second
+	// callerIdleTimeout is how long a caller's connection may be idle. It exceeds the idle timeout of callers, so that the
+	// node does not close a connection just as a request arrives on it.
+	callerIdleTimeout = 60 * time.Second
+	// maxWorkers limits the calls in flight to the own backend server, and maxQueuedRuns the calls that wait for a worker.
+	maxWorkers    = 4096
+	maxQueuedRuns = 4096
+	// removalChecks is the number of checks for unreachable nodes within Options.ForgetAfter.
+	removalChecks = 10
+	// abortTimeout limits how long Abort waits for goroutines to stop.
 	abortTimeout = time.Second
-	// forgetAfter is longer than a restart, a move of an instance or a cut between nodes that mends takes.
-	forgetAfter = 10 * time.Minute
-	// requestLines bounds the lines a second of each event about single requests.
-	requestLines = 50
-	// neighbours is the number of nodes on each ring that a connection is kept to.
-	neighbours = 2
+	// defaultRemoveAfter exceeds the time that a restart, a move of an instance or a passing network partition takes.
+	defaultRemoveAfter = 10 * time.Minute
+	// maxRequestLinesPerSecond limits the log lines of each event that concerns a single request.
+	maxRequestLinesPerSecond = 50
+	// neighboursPerRing is the number of nodes on each ring of the directory to which a node keeps a connection.
+	neighboursPerRing = 2
 )
 
-// Err is the class of errors for a node that cannot start.
+// Err is the error class of this package.
 var Err = errs.Class("mesh")
 
-// Options are what a node is built from; the zero value of every field but Settings works.
+// Options configures a node. All fields except Settings are optional.
 type Options struct {
 	Settings settings.Mesh
 	Clock    kernel.Clock
 	Log      *event.Log
-	// Seed makes the node's random choices repeatable; zero takes a random seed.
+	// Seed is the seed of the node's random choices; zero selects a random seed.
 	Seed uint64
-	// ForgetAfter is how long a node of the own region must be out of reach before its row is removed; zero takes 10 minutes.
+	// ForgetAfter is how long a node of the own region must be unreachable before its row is removed. The default is 10 minutes.
 	ForgetAfter time.Duration
 }
 
-// Node is a running node.
+// Node is a running sidecar node beside one backend server.
 type Node struct {
-	settings   settings.Mesh
-	clock      kernel.Clock
-	log        *event.Log
-	metrics    *event.Metrics
-	rand       *kernel.Rand
-	deployment Deployment
-	store      Store
-	group      *kernel.Group
-	pool       *kernel.Pool
-	transport  *link.Transport
-	backend    *backend
-	watch      hangup.Watch
-	servers    []*fasthttp.Server
-	listeners  []net.Listener
-	config     atomic.Pointer[routing.Config]
-	stopping   atomic.Bool
-	// ends is set in the last part of a stop, in which only requests that end before it are taken.
-	ends atomic.Pointer[time.Time]
-	// callsEnd is set in the first part of a stop, in which only calls of other nodes that end before it are taken.
-	callsEnd atomic.Pointer[time.Time]
-	requests atomic.Int64
+	settings    settings.Mesh
+	clock       kernel.Clock
+	log         *event.Log
+	metrics     *event.Metrics
+	rand        *kernel.Rand
+	deployment  Deployment
+	store       Store
+	group       *kernel.Group
+	pool        *kernel.Pool
+	transport   *link.Transport
+	backend     *backend
+	callerWatch hangup.Watch
+	servers     []*fasthttp.Server
+	listeners   []net.Listener
+	config      atomic.Pointer[routing.Config]
+	stopping    atomic.Bool
+	// requestCutoff is set in the last phase of Stop: requests with a later deadline are refused.
+	requestCutoff atomic.Pointer[time.Time]
+	// callCutoff is set in the first phase of Stop: calls of other nodes are accepted only with an earlier deadline.
+	callCutoff     atomic.Pointer[time.Time]
+	activeRequests atomic.Int64
 
 	mu sync.Mutex
-	// configText is the configuration in force as the store holds it, for other nodes.
+	// configText is the encoded configuration in force, as read from the store. It is sent to other nodes.
 	configText []byte
 	directory  directory.Directory
 	tracker    directory.Tracker
@@ -114,18 +114,19 @@
 	chooser    dispatch.Chooser
 	splits     routing.Splits
 	windows    retry.Windows
-	poison     quarantine.Table
+	quarantine quarantine.Table
 	recovery   recovery
-	// behind is when another node was first heard to know more, by what it knows more of.
-	behind struct{ config, directory time.Time }
-	// holds are the leavings of the own backend server that wait for another node to keep them.
-	holds map[directory.Incarnation]chan struct{}
-	// slots and service are what the own backend server announced.
+	// behindSince is when another node first reported a newer version of the configuration or of the directory.
+	behindSince struct{ config, directory time.Time }
+	// departureAcks has a channel for each departure of the own backend server that was sent to other nodes; the channel is
+	// closed when one of them confirms that it keeps the departure.
+	departureAcks map[directory.Incarnation]chan struct{}
+	// slots and service are the last values that the own backend server announced.
 	slots   int
 	service string
 }
 
-// Start opens the node's listeners and serves until Stop.
+// Start opens the node's listeners and serves requests until Stop or Abort.
 func Start(ctx context.Context, o Options) (*Node, error) {
 	n, err := newNode(ctx, o)
 	if err != nil {
@@ -135,16 +136,17 @@
 		n.Abort()
 		return nil, Err.Wrap(err)
 	}
-	n.log.Allow(requestLines, "request-refused", "request-failed", "request-failed-at-backend-server", "request-not-routed",
-		"call-not-answered")
-	n.group.Go("ticks", n.ticks)
+	n.log.Allow(maxRequestLinesPerSecond, "request-refused", "request-failed", "request-failed-at-backend-server",
+		"request-not-routed", "call-not-answered")
+	n.group.Go("ticks", n.runTicks)
 	n.group.Go("sync-config", n.syncConfig)
 	n.group.Go("sync-directory", n.syncDirectory)
 	n.group.Go("recovery", n.recover)
 	if o.ForgetAfter == 0 {
-		o.ForgetAfter = forgetAfter
+		o.ForgetAfter = defaultRemoveAfter
 	}
-	n.group.Every("forget", o.ForgetAfter/forgetChecks, 0.5, n.rand, func(ctx context.Context) { n.forget(ctx, o.ForgetAfter) })
+	n.group.Every("forget", o.ForgetAfter/removalChecks, 0.5, n.rand,
+		func(ctx context.Context) { n.removeUnreachable(ctx, o.ForgetAfter) })
 	n.log.Info("node-started", "service", n.settings.Service, "availability-zone", n.settings.AvailabilityZone,
 		"callers", n.settings.CallersListen, "calls", n.settings.CallsAddress, "deployment", n.settings.Deployment)
 	return n, nil
@@ -160,27 +162,28 @@
 		return nil, err
 	}
 	n := &Node{settings: o.Settings, clock: o.Clock, log: o.Log, metrics: event.NewMetrics(), deployment: deployment,
-		store: deployment.Store(), jobs: map[uint64]*job{}, holds: map[directory.Incarnation]chan struct{}{}}
+		store: deployment.Store(), jobs: map[uint64]*job{}, departureAcks: map[directory.Incarnation]chan struct{}{}}
 	if n.clock == nil {
 		n.clock = kernel.SystemClock{}
 	}
-	random := randomNumber()
+	random := randomUint64()
 	seed := o.Seed
 	if seed == 0 {
 		seed = random
 	}
 	n.rand = kernel.NewRand(seed)
 	n.service = o.Settings.Service
-	n.windows = retry.Windows{Ratio: o.Settings.RepeatRatio, Fixed: float64(o.Settings.RepeatsAllowed), Length: o.Settings.RepeatWindow}
+	n.windows = retry.Windows{Ratio: o.Settings.RepeatRatio, Fixed: float64(o.Settings.RepeatsAllowed),
+		Length: o.Settings.RepeatWindow}
 	n.backend = newBackend(n, o.Settings.BackendServer)
 	n.group = kernel.NewGroup(ctx)
-	n.pool = kernel.NewPool(workers, queuedRuns)
+	n.pool = kernel.NewPool(maxWorkers, maxQueuedRuns)
 	n.transport = &link.Transport{Clock: n.clock, Log: n.log, Handler: n, Incarnation: random}
 	n.recovery.started = n.clock.Now()
 	return n, nil
 }
 
-func randomNumber() uint64 {
+func randomUint64() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // crypto/rand never returns an error.
 	return binary.BigEndian.Uint64(b[:])
@@ -197,10 +200,10 @@
 		handler       fasthttp.RequestHandler
 		connections   int
 	}{
-		{"announcements", n.settings.AnnounceListen, n.handleAnnouncement, announceConnections},
-		{"ready", n.settings.ReadyListen, n.handleReady, announceConnections},
-		{"callers", n.settings.CallersListen, n.handleCaller, callerConnections},
-		{"admin", n.settings.AdminListen, n.handleAdmin, announceConnections},
+		{"announcements", n.settings.AnnounceListen, n.handleAnnouncement, maxLocalConnections},
+		{"ready", n.settings.ReadyListen, n.handleReady, maxLocalConnections},
+		{"callers", n.settings.CallersListen, n.handleCaller, maxCallerConnections},
+		{"admin", n.settings.AdminListen, n.handleAdmin, maxLocalConnections},
 	} {
 		if l.address == "" {
 			continue
@@ -216,24 +219,25 @@
 
 // serve runs an HTTP server on a listener until the node stops.
 func (n *Node) serve(name string, ln net.Listener, handler fasthttp.RequestHandler, connections int) {
-	s := &fasthttp.Server{
-		Handler: handler, Name: "lovagelane", Concurrency: connections, MaxRequestBodySize: maxBody, ReadBufferSize: maxHeaders,
-		ReadTimeout: slowRequest, IdleTimeout: callerIdle, NoDefaultDate: true, NoDefaultServerHeader: true,
-		NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true, ReduceMemoryUsage: true,
-		Logger: quiet{}, ErrorHandler: n.refuseUnreadable,
+	server := &fasthttp.Server{
+		Handler: handler, Name: "lovagelane", Concurrency: connections, MaxRequestBodySize: maxBodyBytes,
+		ReadBufferSize: maxHeaderBytes, ReadTimeout: requestReadTimeout, IdleTimeout: callerIdleTimeout, NoDefaultDate: true,
+		NoDefaultServerHeader: true, NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true,
+		ReduceMemoryUsage: true, Logger: discardLogger{}, ErrorHandler: n.handleReadError,
 	}
-	n.servers, n.listeners = append(n.servers, s), append(n.listeners, ln)
-	n.group.Go(name, func(context.Context) error { return s.Serve(ln) })
+	n.servers, n.listeners = append(n.servers, server), append(n.listeners, ln)
+	n.group.Go(name, func(context.Context) error { return server.Serve(ln) })
 }
 
-// quiet drops the errors of single connections, which a caller could produce at will; refuseUnreadable counts them.
-type quiet struct{}
+// discardLogger discards errors of single connections, with which any caller could flood the log. handleReadError counts
+// them.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// ticks settles calls that waited too long and notices callers that left.
-func (n *Node) ticks(ctx context.Context) error {
-	timer := time.NewTicker(tick)
+// runTicks periodically expires queued calls, detects disconnected callers and closes idle backend connections.
+func (n *Node) runTicks(ctx context.Context) error {
+	timer := time.NewTicker(tickInterval)
 	defer timer.Stop()
 	for count := 1; ; count++ {
 		select {
@@ -241,31 +245,31 @@
 			return nil
 		case <-timer.C:
 		}
-		n.expire()
-		if count%hangupTicks == 0 {
-			n.watch.Check()
+		n.expireQueued()
+		if count%disconnectCheckTicks == 0 {
+			n.callerWatch.Check()
 		}
-		if count%trimTicks == 0 {
-			n.backend.trim(n.clock.Now())
+		if count%idleTrimTicks == 0 {
+			n.backend.closeExpired(n.clock.Now())
 		}
 	}
 }
 
-// handleReady tells whether callers may send requests here.
+// handleReady serves the readiness endpoint.
 func (n *Node) handleReady(ctx *fasthttp.RequestCtx) {
 	switch {
 	case string(ctx.Path()) != n.deployment.ReadyPath():
-		ctx.Error("not found: ask "+n.deployment.ReadyPath(), fasthttp.StatusNotFound)
+		ctx.Error("not found: the readiness endpoint is "+n.deployment.ReadyPath(), fasthttp.StatusNotFound)
 	case n.stopping.Load():
 		ctx.Error("the node is stopping: use another one", fasthttp.StatusServiceUnavailable)
-	case n.config.Load() == nil || !n.recovered():
-		ctx.Error("the node has not learned yet what holds: ask again", fasthttp.StatusServiceUnavailable)
+	case n.config.Load() == nil || !n.isRecovered():
+		ctx.Error("the node has not loaded its configuration and state yet: retry later", fasthttp.StatusServiceUnavailable)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusOK)
 	}
 }
 
-// handleAdmin serves the metrics.
+// handleAdmin serves the metrics as text.
 func (n *Node) handleAdmin(ctx *fasthttp.RequestCtx) {
 	var b bytes.Buffer
 	expvar.Do(func(kv expvar.KeyValue) {
@@ -276,15 +280,15 @@
 	ctx.SetBody(b.Bytes())
 }
 
-// selfLocked returns what this node states of itself.
+// selfLocked returns the directory record of this node.
 func (n *Node) selfLocked() directory.Node {
 	backend, state := n.tracker.Current()
 	return directory.Node{Address: n.settings.CallsAddress, Service: n.service, Region: n.settings.Region,
 		AvailabilityZone: n.settings.AvailabilityZone, Slots: n.slots, State: state, Backend: backend}
 }
 
-// directoryChangedLocked takes a new view of the other nodes and returns the addresses to keep connections to.
-func (n *Node) directoryChangedLocked() []string {
+// updateCandidatesLocked passes the serving nodes to the chooser and returns the addresses to keep connections to.
+func (n *Node) updateCandidatesLocked() []string {
 	home := balance.Place{Region: n.settings.Region, AvailabilityZone: n.settings.AvailabilityZone}
 	var candidates []dispatch.Candidate
 	for _, node := range n.directory.Nodes() {
@@ -296,7 +300,7 @@
 		candidates = append(candidates, candidateOf(self))
 	}
 	n.chooser.Update(home, candidates)
-	return n.directory.Neighbours(n.settings.CallsAddress, n.settings.Region, neighbours)
+	return n.directory.Neighbours(n.settings.CallsAddress, n.settings.Region, neighboursPerRing)
 }
 
 func candidateOf(node directory.Node) dispatch.Candidate {
@@ -304,8 +308,8 @@
 		Place: balance.Place{Region: node.Region, AvailabilityZone: node.AvailabilityZone}}
 }
 
-// adopt puts a configuration in force unless a later one is.
-func (n *Node) adopt(value []byte, source string) {
+// applyConfig puts a configuration in force unless the current one has the same or a higher version.
+func (n *Node) applyConfig(value []byte, source string) {
 	cfg, err := n.deployment.ReadConfig(value)
 	if err != nil {
 		n.log.Error("config-refused", "source", source, "error", err)
@@ -319,28 +323,28 @@
 	}
 	n.config.Store(cfg)
 	n.configText = value
-	n.behind.config = time.Time{}
-	kept := n.reviewBackendLocked()
+	n.behindSince.config = time.Time{}
+	peers := n.backendStateChangedLocked()
 	n.mu.Unlock()
-	n.transport.Connect(kept)
+	n.transport.Connect(peers)
 	n.log.Info("config-in-force", "version", cfg.Version(), "routes", len(cfg.Routes()), "source", source)
 	n.metrics.Set("config-version", int64(cfg.Version()))
 }
 
-// Wait returns when the node has failed or was stopped.
+// Wait blocks until the node has failed or was stopped.
 func (n *Node) Wait() error { return n.group.Wait() }
 
-// Known returns the number of nodes that this one knows, itself included.
+// Known returns the number of nodes in the directory, including this one.
 func (n *Node) Known() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.directory.Nodes())
 }
 
-// Abort ends the node at once, as when its process is killed.
+// Abort stops the node without draining, as if its process were killed.
 func (n *Node) Abort() {
 	n.stopping.Store(true)
 	n.closeServers(0)
 	n.store.Close()
-	_ = n.group.StopWithin(abortTimeout) // A killed process tells nobody either.
+	_ = n.group.StopWithin(abortTimeout) // A killed process reports no error either.
 }
--- a/mesh/serving.go
+++ b/mesh/serving.go
@@ -11,72 +11,73 @@
 	"lovagelane/slots"
 )
 
-// job is a call at the node beside the backend server that is to run it. Its fields but the constant ones are guarded by
-// Node.mu.
+// job is a call at the node whose backend server is to run it. Node.mu guards the fields from started on; the others are
+// constant.
 type job struct {
 	n        *Node
 	id       uint64
 	m        callMessage
-	other    bool
+	remote   bool
 	arrived  time.Time
 	deadline time.Time
-	settle   func(answerMessage)
+	complete func(answerMessage)
 
 	started   time.Time
 	running   bool
 	cancelled bool
-	ended     bool
-	// capped is set for a call that counts against its route's cap, and admission is what the cap gave it.
+	done      bool
+	// capped is set if the call counts against the cap of its route; admission is then the value that Caps.Admit returned.
 	capped    bool
 	admission int
-	// exchange is the connection that the call runs on.
-	exchange *backendConn
+	// conn is the connection to the backend server that carries the call.
+	conn *backendConn
 }
 
-// Call takes a call of another node; it implements link.Handler.
+// Call implements link.Handler. It submits a call of another node.
 func (n *Node) Call(c *link.Served) {
 	var m callMessage
 	if err := decode(c.Payload, &m); err != nil {
 		n.log.Error("call-malformed", "error", err)
-		c.Answer(encode(answerMessage{End: endUnusable, Why: "call-malformed"}))
+		c.Answer(encode(answerMessage{Outcome: outcomeUnusable, Reason: "call-malformed"}))
 		return
 	}
 	j := n.submit(m, true, func(a answerMessage) { c.Answer(encode(a)) })
 	c.OnCancel(j.cancel)
 }
 
-// submit asks for a slot of the own backend server for a call of this node, or of another one. The end is told to settle,
-// from another goroutine when it comes later.
-func (n *Node) submit(m callMessage, other bool, settle func(answerMessage)) *job {
+// submit requests a slot of the own backend server for a call of this node or of another one (remote). It passes the answer
+// to complete, either before it returns or later from another goroutine.
+func (n *Node) submit(m callMessage, remote bool, complete func(answerMessage)) *job {
 	now := n.clock.Now()
-	j := &job{n: n, m: m, other: other, arrived: now, deadline: now.Add(time.Duration(m.RemainingMS) * time.Millisecond), settle: settle}
+	j := &job{n: n, m: m, remote: remote, arrived: now,
+		deadline: now.Add(time.Duration(m.RemainingMS) * time.Millisecond), complete: complete}
 	n.mu.Lock()
 	n.nextJob++
 	j.id = n.nextJob
-	a, refused := n.arriveLocked(now, j)
+	a, done := n.admitLocked(now, j)
 	n.mu.Unlock()
-	if refused {
-		settle(a)
+	if done {
+		complete(a)
 	}
 	return j
 }
 
-// arriveLocked starts or queues a job, or returns why it can't run.
-func (n *Node) arriveLocked(now time.Time, j *job) (answerMessage, bool) {
+// admitLocked starts or queues a job. If the job is refused, it returns the answer and true.
+func (n *Node) admitLocked(now time.Time, j *job) (answerMessage, bool) {
 	_, state := n.tracker.Current()
 	switch {
-	case n.stopping.Load() && j.other && !n.takesCall(j.deadline):
-		return n.answerLocked(j, endUnusable, "stopping"), true
+	case n.stopping.Load() && j.remote && !n.acceptsCall(j.deadline):
+		return n.answerLocked(j, outcomeUnusable, "stopping"), true
 	case j.m.Service != n.service:
-		return n.answerLocked(j, endUnusable, "other-service"), true
+		return n.answerLocked(j, outcomeUnusable, "other-service"), true
 	case state != directory.Serving || !n.recovery.done:
-		return n.answerLocked(j, endUnusable, "backend-server-"+state.String()), true
-	case n.poison.Refuses(now, j.m.Digest, 0):
-		return n.answerLocked(j, endQuarantined, "quarantined"), true
+		return n.answerLocked(j, outcomeUnusable, "backend-server-"+state.String()), true
+	case n.quarantine.Refuses(now, j.m.Digest, 0):
+		return n.answerLocked(j, outcomeQuarantined, "quarantined"), true
 	}
 	if cfg := n.config.Load(); cfg != nil && j.m.Rank >= cfg.LeastRank() && cfg.LeastRank() > 0 {
 		if j.admission, j.capped = n.caps.Admit(j.m.Route, n.queue.Limit()); !j.capped {
-			return n.answerLocked(j, endCapped, "short-below"), true
+			return n.answerLocked(j, outcomeCapped, "short-below"), true
 		}
 	}
 	latest := now.Add(time.Duration(j.m.WaitMS) * time.Millisecond)
@@ -87,25 +88,25 @@
 	case slots.Wait:
 		n.jobs[j.id] = j
 	case slots.Refuse:
-		n.uncapLocked(j)
-		return n.answerLocked(j, endBusy, "busy"), true
+		n.releaseCapLocked(j)
+		return n.answerLocked(j, outcomeBusy, "busy"), true
 	}
 	return answerMessage{}, false
 }
 
-// uncapLocked takes a call that did not run off its route's cap.
-func (n *Node) uncapLocked(j *job) {
+// releaseCapLocked releases the admission of a job that did not run.
+func (n *Node) releaseCapLocked(j *job) {
 	if j.capped {
 		n.caps.Cancelled(j.m.Route)
 	}
 }
 
-// endRunLocked takes the end of a run off its route's cap. A run that failed after most of its time had passed has waited
-// for services below that are short of room.
-func (n *Node) endRunLocked(j *job, x exchanged, ran time.Duration) {
+// recordRunLocked reports a finished run to the cap of its route. A run that failed after more than half of its time counts
+// as late: it is assumed to have waited for overloaded services further down the call graph.
+func (n *Node) recordRunLocked(j *job, x exchangeResult, ran time.Duration) {
 	switch {
 	case !j.capped:
-	case j.cancelled || x.end != endAnswered:
+	case j.cancelled || x.outcome != outcomeAnswered:
 		n.caps.Cancelled(j.m.Route)
 	default:
 		late := x.status >= fasthttp.StatusInternalServerError && ran > j.deadline.Sub(j.started)/2
@@ -114,9 +115,9 @@
 	}
 }
 
-// answerLocked builds the end of a job with the room that is left.
-func (n *Node) answerLocked(j *job, e end, why string) answerMessage {
-	a := answerMessage{End: e, Why: why, Load: loadOf(n.queue.Load())}
+// answerLocked returns the answer to a job, with the current load of the queue.
+func (n *Node) answerLocked(j *job, o outcome, reason string) answerMessage {
+	a := answerMessage{Outcome: o, Reason: reason, Load: newLoadReport(n.queue.Load())}
 	if !j.started.IsZero() {
 		a.WaitedMicros = j.started.Sub(j.arrived).Microseconds()
 	} else {
@@ -125,80 +126,80 @@
 	return a
 }
 
-// startLocked runs a job on a worker.
+// startLocked runs a job on a worker, or on its own goroutine if no worker is free.
 func (n *Node) startLocked(now time.Time, j *job) {
 	j.started, j.running = now, true
-	if !n.pool.Submit(func() { n.run(j) }) {
-		n.log.Error("no-worker", "workers", workers)
-		n.group.Go("run", n.runLater(j))
+	if !n.pool.Submit(func() { n.runJob(j) }) {
+		n.log.Error("no-worker", "workers", maxWorkers)
+		n.group.Go("run", n.runTask(j))
 	}
 }
 
-// applyLocked carries out what the queue decided and returns the ends to tell once the lock is released.
-func (n *Node) applyLocked(now time.Time, events []slots.Event) []func() {
-	var ends []func()
+// applyEventsLocked applies queue events and returns the callbacks to run after n.mu is released.
+func (n *Node) applyEventsLocked(now time.Time, events []slots.Event) []func() {
+	var callbacks []func()
 	for _, e := range events {
 		switch e := e.(type) {
 		case slots.Started:
 			n.startLocked(now, n.jobs[e.ID])
 		case slots.Expired:
 			j := n.jobs[e.ID]
-			a := n.answerLocked(j, endBusy, "waited")
+			a := n.answerLocked(j, outcomeBusy, "waited")
 			delete(n.jobs, e.ID)
-			n.uncapLocked(j)
-			j.ended = true
-			ends = append(ends, func() { j.settle(a) })
+			n.releaseCapLocked(j)
+			j.done = true
+			callbacks = append(callbacks, func() { j.complete(a) })
 		}
 	}
-	return ends
+	return callbacks
 }
 
-// expire ends the calls that waited too long.
-func (n *Node) expire() {
+// expireQueued completes the queued calls whose latest start has passed.
+func (n *Node) expireQueued() {
 	now := n.clock.Now()
 	n.mu.Lock()
-	ends := n.applyLocked(now, n.queue.Expire(now))
+	callbacks := n.applyEventsLocked(now, n.queue.Expire(now))
 	n.mu.Unlock()
-	tell(ends)
+	runAll(callbacks)
 }
 
-func tell(ends []func()) {
-	for _, f := range ends {
+func runAll(callbacks []func()) {
+	for _, f := range callbacks {
 		f()
 	}
 }
 
-// cancel ends a call whose answer is not needed any more: one that waits is dropped, and one that runs loses its
-// connection, by which the backend server notices.
+// cancel cancels a call whose answer is no longer needed. A queued call is removed. For a running call the connection is
+// closed, which signals the cancellation to the backend server.
 func (j *job) cancel() {
 	n := j.n
 	now := n.clock.Now()
 	n.mu.Lock()
-	if j.ended || j.cancelled {
+	if j.done || j.cancelled {
 		n.mu.Unlock()
 		return
 	}
 	j.cancelled = true
 	if j.running {
-		exchange := j.exchange
+		conn := j.conn
 		n.mu.Unlock()
-		if exchange != nil {
-			exchange.close()
+		if conn != nil {
+			conn.close()
 		}
 		return
 	}
-	j.ended = true
+	j.done = true
 	delete(n.jobs, j.id)
-	n.uncapLocked(j)
-	ends := n.applyLocked(now, n.queue.Cancel(j.id))
-	a := n.answerLocked(j, endBusy, "cancelled")
+	n.releaseCapLocked(j)
+	callbacks := n.applyEventsLocked(now, n.queue.Cancel(j.id))
+	a := n.answerLocked(j, outcomeBusy, "cancelled")
 	n.mu.Unlock()
-	tell(ends)
-	j.settle(a)
+	runAll(callbacks)
+	j.complete(a)
 }
 
-// run passes a call to the own backend server.
-func (n *Node) run(j *job) {
+// runJob runs a job at the own backend server.
+func (n *Node) runJob(j *job) {
 	n.mu.Lock()
 	current, state := n.tracker.Current()
 	cancelled := j.cancelled
@@ -206,53 +207,53 @@
 	now := n.clock.Now()
 	switch {
 	case cancelled:
-		n.finish(j, exchanged{end: endBusy, why: "cancelled"})
+		n.finishJob(j, exchangeResult{outcome: outcomeBusy, reason: "cancelled"})
 	case state != directory.Serving:
-		n.finish(j, exchanged{end: endUnusable, why: "backend-server-" + state.String()})
+		n.finishJob(j, exchangeResult{outcome: outcomeUnusable, reason: "backend-server-" + state.String()})
 	case !now.Before(j.deadline):
-		n.finish(j, exchanged{end: endExpired, why: "deadline"})
+		n.finishJob(j, exchangeResult{outcome: outcomeExpired, reason: "deadline"})
 	default:
 		x := n.backend.exchange(j, current.ID, j.deadline.Sub(now))
 		switch {
-		case x.lost:
-			x.crashed = n.noteLost(j, current, x)
-		case x.refused:
-			n.backendLost(current, x.why)
+		case x.connectionLost:
+			x.crashed = n.checkCrash(j, current, x)
+		case x.backendGone:
+			n.handleBackendLoss(current, x.reason)
 		}
-		n.finish(j, x)
+		n.finishJob(j, x)
 	}
 }
 
-// finish frees the slot of a call and tells its end.
-func (n *Node) finish(j *job, x exchanged) {
+// finishJob releases the slot of a job and completes it.
+func (n *Node) finishJob(j *job, x exchangeResult) {
 	now := n.clock.Now()
 	ran := now.Sub(j.started)
 	n.mu.Lock()
 	delete(n.jobs, j.id)
-	j.running, j.ended = false, true
-	n.endRunLocked(j, x, ran)
+	j.running, j.done = false, true
+	n.recordRunLocked(j, x, ran)
 	var events []slots.Event
-	if x.end == endAnswered && !j.cancelled {
+	if x.outcome == outcomeAnswered && !j.cancelled {
 		events = n.queue.Finish(j.id, ran)
 	} else {
 		events = n.queue.Cancel(j.id)
 	}
-	ends := n.applyLocked(now, events)
-	a := n.answerLocked(j, x.end, x.why)
+	callbacks := n.applyEventsLocked(now, events)
+	a := n.answerLocked(j, x.outcome, x.reason)
 	a.Status, a.Head, a.Body, a.RanMicros, a.Crashed = x.status, x.head, x.body, ran.Microseconds(), x.crashed
 	var reports []quarantine.Report
-	if x.end == endAnswered && x.status < fasthttp.StatusInternalServerError {
-		reports = n.poison.Answered(now, j.m.Digest)
+	if x.outcome == outcomeAnswered && x.status < fasthttp.StatusInternalServerError {
+		reports = n.quarantine.Answered(now, j.m.Digest)
 	}
 	n.mu.Unlock()
 	if len(reports) > 0 {
-		n.transport.Broadcast(encode(notice{Crashes: reports}))
+		n.transport.Broadcast(encode(gossipMessage{Crashes: reports}))
 	}
-	n.metrics.Add("runs", 1, x.end.String())
-	if x.end != endAnswered {
-		n.log.Info("call-not-answered", "request", j.m.RequestID, "route", j.m.Route, "end", x.end.String(), "why", x.why,
+	n.metrics.Add("runs", 1, x.outcome.String())
+	if x.outcome != outcomeAnswered {
+		n.log.Info("call-not-answered", "request", j.m.RequestID, "route", j.m.Route, "end", x.outcome.String(), "why", x.reason,
 			"crashed", x.crashed, "cancelled", j.cancelled, "ran", ran)
 	}
-	tell(ends)
-	j.settle(a)
+	runAll(callbacks)
+	j.complete(a)
 }
--- a/mesh/stop.go
+++ b/mesh/stop.go
@@ -8,90 +8,91 @@
 )
 
 const (
-	// defaultGrace is the time to stop when the deployment states none.
+	// defaultGrace is the grace period of a stop if the settings state none.
 	defaultGrace = 6 * time.Second
-	// leaveTime is how long a stopping node goes on taking requests: callers are told by the readiness question, which is
-	// asked once a second and must fail twice. After that only requests that end within the grace are taken, and none of
-	// other nodes.
-	leaveTime = 2800 * time.Millisecond
-	// stopReserve is the end of the grace in which connections are closed. A process that gets its share of the processor in
-	// quotas of 100 ms needs several of them for that.
-	stopReserve = 800 * time.Millisecond
-	// stopCheck is the period at which a stopping node checks whether anything is under way.
-	stopCheck = 20 * time.Millisecond
+	// callerDrainTime is how long a stopping node still accepts all requests of callers. Callers poll the readiness endpoint
+	// once a second and leave after two failures. Afterwards the node accepts only requests whose deadline is within the
+	// grace period, and no calls of other nodes.
+	callerDrainTime = 2800 * time.Millisecond
+	// closeReserve is the last part of the grace period, reserved for closing connections. A process under a CPU quota with a
+	// period of 100 ms needs several periods for that.
+	closeReserve = 800 * time.Millisecond
+	// drainCheckInterval is the period at which a stopping node checks for requests and calls in flight.
+	drainCheckInterval = 20 * time.Millisecond
 )
 
-// Stop takes the node out of service without cutting off a request: callers are told to leave, calls of other nodes are
-// taken for as long if they end in time, and what is under way is finished within the grace.
+// Stop drains the node and stops it. First the readiness endpoint fails, so that callers leave; meanwhile calls of other nodes
+// are accepted if their deadline is early enough. Then requests and calls in flight may finish within the grace period.
 func (n *Node) Stop() error {
-	start := n.clock.Now()
+	started := n.clock.Now()
 	grace := n.settings.Grace
 	if grace == 0 {
 		grace = defaultGrace
 	}
-	end := start.Add(grace - stopReserve - answerMargin)
+	cutoff := started.Add(grace - closeReserve - answerMargin)
 	if !n.stopping.CompareAndSwap(false, true) {
 		return nil
 	}
-	n.callsEnd.Store(&end)
-	n.log.Info("node-stopping", "requests", n.requests.Load(), "grace", grace)
+	n.callCutoff.Store(&cutoff)
+	n.log.Info("node-stopping", "requests", n.activeRequests.Load(), "grace", grace)
 	n.mu.Lock()
 	_, state := n.tracker.Current()
 	n.mu.Unlock()
 	if state == directory.Leaving {
-		ctx, cancel := context.WithTimeout(n.group.Context(), recordTimeout)
-		n.removeNode(ctx)
+		ctx, cancel := context.WithTimeout(n.group.Context(), departureTimeout)
+		n.removeOwnRow(ctx)
 		cancel()
 	}
-	ctx, cancel := context.WithTimeout(n.group.Context(), grace-stopReserve)
+	ctx, cancel := context.WithTimeout(n.group.Context(), grace-closeReserve)
 	defer cancel()
-	wait(ctx, min(leaveTime, grace/2))
-	n.callsEnd.Store(nil)
-	n.takeUntil(end)
-	n.finishAll(ctx)
-	// A request that arrives from here on would lose its connection.
-	n.takeUntil(start)
-	n.finishAll(ctx)
-	left := n.underWay()
-	n.closeServers(stopReserve / 4)
+	sleep(ctx, min(callerDrainTime, grace/2))
+	n.callCutoff.Store(nil)
+	n.setRequestCutoff(cutoff)
+	n.waitUntilIdle(ctx)
+	// From here on, the connection of a new request would be closed before its answer.
+	n.setRequestCutoff(started)
+	n.waitUntilIdle(ctx)
+	unfinished := n.inFlight()
+	n.closeServers(closeReserve / 4)
 	n.store.Close()
-	err := n.group.StopWithin(stopReserve / 4)
-	n.log.Info("node-stopped", "took", n.clock.Now().Sub(start), "cut-off", left)
+	err := n.group.StopWithin(closeReserve / 4)
+	n.log.Info("node-stopped", "took", n.clock.Now().Sub(started), "cut-off", unfinished)
 	return err
 }
 
-// closeServers closes listeners and connections; those that a request is under way on get the given time.
+// closeServers closes listeners and connections. Connections with a request in flight may take up to the grace period.
 func (n *Node) closeServers(grace time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	for _, s := range n.servers {
 		_ = s.ShutdownWithContext(ctx) // Connections that are still open are closed with the process.
 	}
-	// A server that has not begun to serve doesn't know its listener yet.
+	// Shutdown does not close the listener of a server that has not begun to serve.
 	for _, ln := range n.listeners {
 		_ = ln.Close() // Most are closed already.
 	}
 }
 
-// takeUntil has requests refused that may end later.
-func (n *Node) takeUntil(end time.Time) { n.ends.Store(&end) }
+// setRequestCutoff makes the node refuse requests with a deadline after the cutoff.
+func (n *Node) setRequestCutoff(cutoff time.Time) { n.requestCutoff.Store(&cutoff) }
 
-// takesCall reports whether a node that stops takes a call of another one, which has other backend servers to go to.
-func (n *Node) takesCall(deadline time.Time) bool {
-	end := n.callsEnd.Load()
-	return end != nil && !deadline.After(*end)
+// acceptsCall reports whether a stopping node accepts a call of another node with this deadline. The other node can send the
+// call to another backend server instead.
+func (n *Node) acceptsCall(deadline time.Time) bool {
+	cutoff := n.callCutoff.Load()
+	return cutoff != nil && !deadline.After(*cutoff)
 }
 
-// finishAll waits until nothing is under way or ctx ends.
-func (n *Node) finishAll(ctx context.Context) {
-	for ctx.Err() == nil && n.underWay() > 0 {
-		wait(ctx, stopCheck)
+// waitUntilIdle waits until nothing is in flight or ctx ends.
+func (n *Node) waitUntilIdle(ctx context.Context) {
+	for ctx.Err() == nil && n.inFlight() > 0 {
+		sleep(ctx, drainCheckInterval)
 	}
 }
 
-// underWay returns the number of requests and calls that are not finished.
-func (n *Node) underWay() int {
+// inFlight returns the number of requests and calls in flight.
+func (n *Node) inFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return int(n.requests.Load()) + len(n.jobs)
+	return int(n.activeRequests.Load()) + len(n.jobs)
 }
--- a/mesh/sync.go
+++ b/mesh/sync.go
@@ -9,75 +9,78 @@
 )
 
 const (
-	// feedWait is how long the store is asked to wait for a change.
-	feedWait = 25 * time.Second
-	// firstPause and longestPause bound the pause after a failed call of the store.
-	firstPause   = 200 * time.Millisecond
-	longestPause = 2 * time.Second
-	// gather is the pause between two reads of the directory's feed, so that changes that come together are read together.
-	// Calls of the store are paid, and nodes that read it sooner tell their neighbours meanwhile.
-	gather = 2500 * time.Millisecond
-	// recoveryWait is how long a node that has started waits for other nodes to tell what they hold for it, when the
-	// store can't be read.
-	recoveryWait = 1500 * time.Millisecond
-	// recoveryCheck is the period at which a node that has started checks whether it knows enough.
-	recoveryCheck = 50 * time.Millisecond
+	// feedPollTimeout is how long one long poll of the change feed waits for a change.
+	feedPollTimeout = 25 * time.Second
+	// minRetryDelay and maxRetryDelay bound the exponential backoff after a failed call of the store.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
+	// directoryBatchDelay is the longest delay between two reads of the directory's change feed. It batches changes, because the
+	// store charges for each call. Meanwhile the changes also arrive by gossip from nodes that read them earlier.
+	directoryBatchDelay = 2500 * time.Millisecond
+	// recoveryPeerWait is how long a started node waits, after its first peer connected, for other nodes to return a
+	// departure that they keep for it. It applies only if the store can't be read.
+	recoveryPeerWait = 1500 * time.Millisecond
+	// recoveryCheckInterval is the period at which a started node checks whether its recovery is complete.
+	recoveryCheckInterval = 50 * time.Millisecond
 )
 
-// recovery is what a node has learned since its start of what it did before.
+// recovery is the progress of a started node in restoring the state from before its start.
 type recovery struct {
 	started time.Time
-	// listed is set when the directory was read from the store.
-	listed bool
-	// greeted is when the first other node connected.
-	greeted time.Time
-	// done is set when the node knows whether its backend server was leaving; until then it sends it nothing.
+	// directoryRead is set once the directory was read from the store.
+	directoryRead bool
+	// firstPeerAt is when the first other node connected.
+	firstPeerAt time.Time
+	// done is set once the node knows whether its backend server was leaving before the start. Until then it sends no calls
+	// to it.
 	done bool
-	// recorded is the leaving that is on record.
-	recorded directory.Incarnation
+	// recordedDeparture is the backend server whose departure is recorded in the store or at another node.
+	recordedDeparture directory.Incarnation
 }
 
-// follow reads a table and then its changes, until ctx ends.
-func (n *Node) follow(ctx context.Context, table string, gather time.Duration, all func([]Row, uint64), changed func([]Row)) error {
-	pause := firstPause
-	failed := func(what string, err error) {
-		n.log.Warn("store-failed", "table", table, "call", what, "error", err, "pause", pause)
-		n.metrics.Add("store-failures", 1, what)
-		wait(ctx, n.rand.Jitter(pause, 0.5))
-		pause = min(longestPause, 2*pause)
+// watchTable lists a table and then follows its change feed until ctx ends. It lists the table again when the feed no longer
+// holds the changes since the last read.
+func (n *Node) watchTable(ctx context.Context, table string, batchDelay time.Duration,
+	onSnapshot func([]Row, uint64), onChange func([]Row)) error {
+	delay := minRetryDelay
+	backOff := func(operation string, err error) {
+		n.log.Warn("store-failed", "table", table, "call", operation, "error", err, "pause", delay)
+		n.metrics.Add("store-failures", 1, operation)
+		sleep(ctx, n.rand.Jitter(delay, 0.5))
+		delay = min(maxRetryDelay, 2*delay)
 	}
 	for ctx.Err() == nil {
 		rows, version, err := n.store.List(ctx, table)
 		if err != nil {
-			failed("list", err)
+			backOff("list", err)
 			continue
 		}
-		pause = firstPause
-		all(rows, version)
-		wait(ctx, n.rand.Jitter(gather, 0.5))
+		delay = minRetryDelay
+		onSnapshot(rows, version)
+		sleep(ctx, n.rand.Jitter(batchDelay, 0.5))
 		for ctx.Err() == nil {
-			rows, next, err := n.store.Feed(ctx, table, version, feedWait)
+			rows, next, err := n.store.Feed(ctx, table, version, feedPollTimeout)
 			if errors.Is(err, ErrHistoryGone) {
 				n.log.Info("store-history-gone", "table", table, "after", version)
 				break
 			}
 			if err != nil {
-				failed("feed", err)
+				backOff("feed", err)
 				continue
 			}
-			pause = firstPause
+			delay = minRetryDelay
 			version = max(version, next)
 			if len(rows) > 0 {
-				changed(rows)
-				wait(ctx, n.rand.Jitter(gather, 0.5))
+				onChange(rows)
+				sleep(ctx, n.rand.Jitter(batchDelay, 0.5))
 			}
 		}
 	}
 	return nil
 }
 
-// wait pauses until a time has passed or ctx ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -89,25 +92,26 @@
 	}
 }
 
-// syncConfig puts the operators' configuration in force as the store holds it.
+// syncConfig watches the operators' configuration in the store and applies it.
 func (n *Node) syncConfig(ctx context.Context) error {
 	table, key := n.deployment.ConfigRow()
-	take := func(rows []Row) {
+	applyRows := func(rows []Row) {
 		for _, row := range rows {
 			if row.Key == key && !row.Removed {
-				n.adopt(row.Value, "store")
+				n.applyConfig(row.Value, "store")
 			}
 		}
 	}
-	return n.follow(ctx, table, 0, func(rows []Row, _ uint64) { take(rows) }, take)
+	return n.watchTable(ctx, table, 0, func(rows []Row, _ uint64) { applyRows(rows) }, applyRows)
 }
 
-// syncDirectory follows the rows of the nodes.
+// syncDirectory watches the table of nodes in the store and updates the directory.
 func (n *Node) syncDirectory(ctx context.Context) error {
-	return n.follow(ctx, nodesTable, gather, n.replaceDirectory, func(rows []Row) { n.mergeRows(n.entriesOf(rows)) })
+	return n.watchTable(ctx, nodesTable, directoryBatchDelay, n.replaceDirectory,
+		func(rows []Row) { n.mergeRows(n.entriesOf(rows)) })
 }
 
-// readDirectory reads all rows of the nodes.
+// readDirectory reads the whole table of nodes.
 func (n *Node) readDirectory(ctx context.Context) error {
 	rows, version, err := n.store.List(ctx, nodesTable)
 	if err != nil {
@@ -121,12 +125,12 @@
 	entries := n.entriesOf(rows)
 	n.mu.Lock()
 	n.directory.Replace(entries, version)
-	n.recovery.listed = true
+	n.recovery.directoryRead = true
 	n.mu.Unlock()
-	n.directoryChanged()
+	n.handleDirectoryChange()
 }
 
-// entriesOf reads rows of the nodes' table; a row that can't be read names no node.
+// entriesOf decodes rows of the table of nodes. It logs and skips malformed rows.
 func (n *Node) entriesOf(rows []Row) []directory.Entry {
 	var entries []directory.Entry
 	for _, row := range rows {
@@ -142,81 +146,82 @@
 	return entries
 }
 
-// mergeRows takes rows of the directory from the store or from another node.
+// mergeRows merges rows from the store or from another node into the directory.
 func (n *Node) mergeRows(entries []directory.Entry) {
-	news := 0
+	changed := 0
 	n.mu.Lock()
 	for _, e := range entries {
 		if n.directory.Merge(e) {
-			news++
+			changed++
 		}
 	}
 	n.mu.Unlock()
-	if news > 0 {
-		n.directoryChanged()
+	if changed > 0 {
+		n.handleDirectoryChange()
 	}
 }
 
-// directoryChanged follows a change of the known nodes.
-func (n *Node) directoryChanged() {
+// handleDirectoryChange updates candidates and connections after a change of the directory, and writes the row of this node
+// again if needed.
+func (n *Node) handleDirectoryChange() {
 	n.mu.Lock()
-	n.behind.directory = time.Time{}
-	kept := n.directoryChangedLocked()
+	n.behindSince.directory = time.Time{}
+	peers := n.updateCandidatesLocked()
 	own, known := n.directory.Entry(n.settings.CallsAddress)
 	if known && own.Node.State == directory.Leaving {
-		n.leftLocked(own.Node.Backend)
+		n.setDepartedLocked(own.Node.Backend)
 	}
 	_, state := n.tracker.Current()
-	// A row that another writer has removed or replaced is written again.
+	// Another writer has removed the row of this node or replaced it with another state.
 	rewrite := known && state != directory.Absent && (own.Removed || own.Node.State != state) && !n.stopping.Load()
 	count := len(n.directory.Nodes())
 	n.mu.Unlock()
-	n.transport.Connect(kept)
+	n.transport.Connect(peers)
 	n.metrics.Set("nodes", int64(count))
 	if rewrite {
-		n.writeNodeSoon()
+		n.writeOwnRowAsync()
 	}
 }
 
-// leftLocked takes a leaving of the own backend server that is on record.
-func (n *Node) leftLocked(b directory.Incarnation) {
-	n.recovery.recorded = b
+// setDepartedLocked applies a recorded departure of the own backend server.
+func (n *Node) setDepartedLocked(b directory.Incarnation) {
+	n.recovery.recordedDeparture = b
 	if n.tracker.Left(b) {
-		n.applyAsync(n.queue.Close())
+		n.applyEventsAsync(n.queue.Close())
 	}
 }
 
-// recover waits until the node knows whether its backend server was leaving before the node started: from the store, or
-// from the nodes that connect while the store is away.
+// recover waits until the node knows whether its backend server was leaving before the node started. It learns this
+// from the store or, while the store is unavailable, from the nodes that connect to it.
 func (n *Node) recover(ctx context.Context) error {
 	for {
 		now := n.clock.Now()
 		n.mu.Lock()
-		done := n.recovery.listed || !n.recovery.greeted.IsZero() && now.Sub(n.recovery.greeted) > recoveryWait
-		var kept []string
+		done := n.recovery.directoryRead || !n.recovery.firstPeerAt.IsZero() && now.Sub(n.recovery.firstPeerAt) > recoveryPeerWait
+		var peers []string
 		if done {
 			n.recovery.done = true
-			kept = n.reviewBackendLocked()
+			peers = n.backendStateChangedLocked()
 		}
 		source := "store"
-		if !n.recovery.listed {
+		if !n.recovery.directoryRead {
 			source = "nodes"
 		}
 		n.mu.Unlock()
 		if done {
-			n.transport.Connect(kept)
+			n.transport.Connect(peers)
 			n.log.Info("recovered", "source", source, "took", now.Sub(n.recovery.started))
 			return nil
 		}
-		wait(ctx, recoveryCheck)
+		sleep(ctx, recoveryCheckInterval)
 		if ctx.Err() != nil {
 			return nil
 		}
 	}
 }
 
-// recovered reports whether the node knows what it did before its start.
-func (n *Node) recovered() bool {
+// isRecovered reports whether the recovery after the start of the node is complete.
+func (n *Node) isRecovered() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.recovery.done
