--- a/hangup/doc.go
+++ b/hangup/doc.go
@@ -1,2 +1,3 @@
-// Package hangup notices callers that closed their connection while they wait for an answer.
+// Package hangup detects callers that close their connection before they receive an answer. It peeks at the sockets and
+// consumes no data.
 package hangup
--- a/hangup/watch.go
+++ b/hangup/watch.go
@@ -9,20 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Watch holds the connections of waiting callers; its zero value is ready.
+// Watch detects when waiting callers close their connection. The zero value is ready to use.
 type Watch struct {
 	mu      sync.Mutex
-	next    uint64
-	waiting map[uint64]*waitingCaller
+	nextID  uint64
+	callers map[uint64]*waitingCaller
 }
 
 type waitingCaller struct {
-	conn syscall.RawConn
-	gone chan struct{}
+	conn         syscall.RawConn
+	disconnected chan struct{}
 }
 
-// Add watches a connection until stop is called; the channel is closed when the other end has closed it.
-func (w *Watch) Add(conn net.Conn) (gone <-chan struct{}, stop func()) {
+// Add watches a connection until stop is called. Check closes the returned channel when the peer has closed the connection.
+// The channel is nil for a connection without access to its socket.
+func (w *Watch) Add(conn net.Conn) (disconnected <-chan struct{}, stop func()) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, func() {}
@@ -31,19 +32,19 @@
 	if err != nil {
 		return nil, func() {}
 	}
-	caller := &waitingCaller{conn: raw, gone: make(chan struct{})}
+	caller := &waitingCaller{conn: raw, disconnected: make(chan struct{})}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.waiting == nil {
-		w.waiting = map[uint64]*waitingCaller{}
+	if w.callers == nil {
+		w.callers = map[uint64]*waitingCaller{}
 	}
-	w.next++
-	id := w.next
-	w.waiting[id] = caller
-	return caller.gone, func() {
+	w.nextID++
+	id := w.nextID
+	w.callers[id] = caller
+	return caller.disconnected, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		delete(w.waiting, id)
+		delete(w.callers, id)
 	}
 }
 
@@ -51,28 +52,28 @@
 func (w *Watch) Count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.waiting)
+	return len(w.callers)
 }
 
-// Check looks at every watched connection without reading from it.
+// Check tests every watched connection and closes the channels of those that the peer has closed.
 func (w *Watch) Check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, caller := range w.waiting {
-		if closed(caller.conn) {
-			close(caller.gone)
-			delete(w.waiting, id)
+	for id, caller := range w.callers {
+		if peerClosed(caller.conn) {
+			close(caller.disconnected)
+			delete(w.callers, id)
 		}
 	}
 }
 
-// Abandoned reports whether the sender of the request that was just read from conn has given up on it. A request that
-// waited in the socket while this process was paused states a remaining time that counts from its sending, so only the
-// closed connection shows that its deadline has passed.
+// Abandoned reports whether the sender of the request that was just read from conn has closed the connection. If this process
+// was paused while the request waited in the socket buffer, the remaining time that the request states counts from its
+// sending, so that only the closed connection shows that the deadline has passed.
 func Abandoned(conn net.Conn) bool {
-	secured, isTLS := conn.(*tls.Conn)
+	tlsConn, isTLS := conn.(*tls.Conn)
 	if isTLS {
-		conn = secured.NetConn()
+		conn = tlsConn.NetConn()
 	}
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -82,24 +83,25 @@
 	if err != nil {
 		return true
 	}
-	pending, gone := Peek(raw)
-	// A node sends nothing after a request but the alert that ends the TLS session.
-	return gone || isTLS && pending
+	pending, closed := Peek(raw)
+	// After a request, a node sends only the alert that closes the TLS session.
+	return closed || isTLS && pending
 }
 
-// closed reports whether the other end has closed a connection.
-func closed(conn syscall.RawConn) bool {
-	_, gone := Peek(conn)
-	return gone
+// peerClosed reports whether the peer has closed a connection.
+func peerClosed(conn syscall.RawConn) bool {
+	_, closed := Peek(conn)
+	return closed
 }
 
-// Peek looks at a socket without reading from it: no byte and no error means that the other end has closed it.
-func Peek(conn syscall.RawConn) (pending, gone bool) {
+// Peek reports whether a socket has unread data and whether it is closed or unusable, without consuming data. A read of zero
+// bytes without an error means that the peer has closed the connection.
+func Peek(conn syscall.RawConn) (pending, closed bool) {
 	err := conn.Control(func(fd uintptr) {
 		var b [1]byte
 		count, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		pending = err == nil && count > 0
-		gone = (err == nil && count == 0) || err == unix.ECONNRESET
+		closed = (err == nil && count == 0) || err == unix.ECONNRESET
 	})
-	return pending, gone || err != nil
+	return pending, closed || err != nil
 }
