--- a/mesh/announce.go
+++ b/mesh/announce.go
@@ -38,7 +38,7 @@
 		return
 	}
 	if !n.applyAnnouncement(a) {
-		ctx.Error("the departure is not recorded yet: send the announcement again", fasthttp.StatusServiceUnavailable)
+		ctx.Error("the leaving is not on record yet: send it again", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	ctx.SetContentType("application/json")
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -259,11 +259,11 @@
 func (n *Node) handleReady(ctx *fasthttp.RequestCtx) {
 	switch {
 	case string(ctx.Path()) != n.deployment.ReadyPath():
-		ctx.Error("not found: the readiness endpoint is "+n.deployment.ReadyPath(), fasthttp.StatusNotFound)
+		ctx.Error("not found: ask "+n.deployment.ReadyPath(), fasthttp.StatusNotFound)
 	case n.stopping.Load():
 		ctx.Error("the node is stopping: use another one", fasthttp.StatusServiceUnavailable)
 	case n.config.Load() == nil || !n.isRecovered():
-		ctx.Error("the node has not loaded its configuration and state yet: retry later", fasthttp.StatusServiceUnavailable)
+		ctx.Error("the node has not learned yet what holds: ask again", fasthttp.StatusServiceUnavailable)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusOK)
 	}
