--- a/link/conn.go
+++ b/link/conn.go
@@ -15,23 +15,23 @@
 const (
 	// readBuffer is the size of a connection's read buffer, in bytes. It is small because a node has many connections.
 	readBuffer = 4 << 10
-	// maxUnwritten bounds the bytes that wait to be written on a connection; a receiver that reads no faster is cut off.
+	// maxUnwritten bounds the bytes queued for writing on a connection, which is closed when the receiver reads too slowly.
 	maxUnwritten = 32 << 20
-	// writeTimeout bounds one write; a receiver that takes nothing for so long is gone.
+	// writeTimeout bounds one write. A receiver that accepts no bytes for this long counts as unreachable.
 	writeTimeout = 2 * time.Second
-	// UnacknowledgedTimeout is how long sent bytes may go without an acknowledgement before the kernel gives the connection
-	// up, so that a cut path or a connection that went silent shows within seconds.
+	// UnacknowledgedTimeout is how long sent bytes may stay unacknowledged before the kernel closes the connection, so that
+	// a broken network path or an unresponsive peer is detected within seconds.
 	UnacknowledgedTimeout = 2 * time.Second
-	// keepAliveInterval is the time without traffic after which the kernel checks a connection, and between its checks.
+	// keepAliveInterval is the idle time before the first TCP keep-alive probe, and the time between probes.
 	keepAliveInterval = time.Second
-	// keepAliveCount is the number of unanswered checks after which the kernel gives a connection up.
+	// keepAliveCount is the number of unanswered probes after which the kernel closes a connection.
 	keepAliveCount = 2
 )
 
-// ErrRefused marks a connection that could not be opened because nothing listens at the address.
+// ErrRefused reports that a connection could not be opened because nothing listens at the address.
 var ErrRefused = errors.New("connection refused")
 
-// Dial opens a TCP connection that notices a silent path within seconds.
+// Dial opens a TCP connection that detects a broken network path within seconds.
 func Dial(address string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount,
@@ -43,11 +43,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return c, watchSilence(c)
+	return c, setUserTimeout(c)
 }
 
-// watchSilence bounds how long sent bytes may stay unacknowledged.
-func watchSilence(c net.Conn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent bytes may stay unacknowledged.
+func setUserTimeout(c net.Conn) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -56,21 +56,21 @@
 	if err != nil {
 		return err
 	}
-	var set error
+	var optErr error
 	if err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnacknowledgedTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnacknowledgedTimeout.Milliseconds()))
 	}); err != nil {
 		return err
 	}
-	return set
+	return optErr
 }
 
-// conn writes frames in the order in which they are sent, several in one write when they come close together.
+// conn writes frames in the order in which they are sent and batches queued frames into one write.
 type conn struct {
 	c net.Conn
 	r *bufio.Reader
-	// heard is when the last frame was read, in nanoseconds of the transport's clock.
-	heard atomic.Int64
+	// lastRead is when the last frame was read, in nanoseconds of Transport.uptime.
+	lastRead atomic.Int64
 
 	mu      sync.Mutex
 	wake    *sync.Cond
@@ -84,7 +84,7 @@
 	return k
 }
 
-// send queues a frame and reports false when the connection is closed.
+// send queues a frame and reports whether the connection is open.
 func (k *conn) send(f frame) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,10 +1,10 @@
-// Package link carries calls between nodes over TCP: many calls share a connection, a call that was sent survives the loss
-// of its connection, and the receiver runs it once however often it is sent.
+// Package link multiplexes calls between nodes over TCP connections. A call survives the loss of its connection, and the
+// receiver runs it at most once, however often it is sent.
 //
-// A sender numbers its calls. When a connection is lost or silent, the sender opens another one and sends the calls that
-// have no answer again under their numbers. The receiver knows the numbers of each start of a sender: it attaches a
-// repeated call to the running one, or repeats the kept answer. Only a receiver that has started anew since knows nothing
-// of them; then the sender is told that they may have run.
+// A sender numbers its calls. When a connection is lost or unresponsive, the sender opens another one and resends the
+// unanswered calls under the same numbers. The receiver deduplicates by the sender's incarnation and the call number: it
+// attaches a resent call to the running one, or resends the stored answer. A receiver that has restarted since has no
+// record of these calls; the sender then reports that they may have run.
 //
 // Lock order: Transport.mu, then Peer.mu or session.mu, then conn.mu.
 package link
--- a/link/frame.go
+++ b/link/frame.go
@@ -11,31 +11,33 @@
 // Err is the class of errors of connections between nodes.
 var Err = errs.Class("link")
 
-// kind is the type of a frame. A frame is its length in 4 bytes, its kind in 1 byte, a number in 8 bytes, and a payload.
+// kind is the type of a frame. A frame consists of its length in 4 bytes, its kind in 1 byte, a number in 8 bytes and a
+// payload.
 type kind uint8
 
 const (
-	// kindHello opens a connection in both directions; its number is the incarnation of the node that sends it.
+	// kindHello is the first frame in both directions; its number is the incarnation of the sending node.
 	kindHello kind = iota + 1
-	// kindCall carries a call under its number.
+	// kindCall carries a call with its number.
 	kindCall
 	// kindAnswer carries the answer to the call with that number.
 	kindAnswer
-	// kindCancel says that the answer to the call with that number is not needed any more.
+	// kindCancel cancels the call with that number.
 	kindCancel
-	// kindSettled says that the sender needs no answers below that number.
-	kindSettled
-	// kindPing and kindPong show that the other end is alive, and carry its status.
+	// kindAck acknowledges all calls below that number: the sender no longer needs their answers.
+	kindAck
+	// kindPing and kindPong are heartbeats that carry the status of the sending node.
 	kindPing
 	kindPong
-	// kindNotice carries news that needs no answer.
+	// kindNotice carries a one-way message.
 	kindNotice
-	// kindUnknown is the answer to a call that was sent to an earlier start of the receiver.
-	kindUnknown
+	// kindOutcomeUnknown rejects a call that the sender has acknowledged or that exceeds maxCallsPerSession. The call may
+	// have run before.
+	kindOutcomeUnknown
 )
 
 const (
-	frameHead = 4 + 1 + 8
+	frameHeaderSize = 4 + 1 + 8
 	// MaxPayload bounds the payload of a frame, in bytes.
 	MaxPayload = 16 << 20
 )
@@ -54,15 +56,15 @@
 }
 
 func readFrame(r *bufio.Reader) (frame, error) {
-	var head [frameHead]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return frame{}, err
 	}
-	size := int64(binary.BigEndian.Uint32(head[:4])) - 9
+	size := int64(binary.BigEndian.Uint32(header[:4])) - 9
 	if size < 0 || size > MaxPayload {
-		return frame{}, Err.New("a frame of %d bytes: the other end speaks another protocol or sends more than %d", size, MaxPayload)
+		return frame{}, Err.New("frame payload of %d bytes: the peer uses another protocol or exceeds %d bytes", size, MaxPayload)
 	}
-	f := frame{kind: kind(head[4]), number: binary.BigEndian.Uint64(head[5:])}
+	f := frame{kind: kind(header[4]), number: binary.BigEndian.Uint64(header[5:])}
 	if size == 0 {
 		return f, nil
 	}
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -15,20 +15,20 @@
 	"lovagelane/testbed"
 )
 
-// patience bounds how long a test waits for something that must happen.
-const patience = 10 * time.Second
+// waitTimeout bounds how long a test waits for an expected event.
+const waitTimeout = 10 * time.Second
 
-// node is one end of a link: it counts how often each call ran, and answers when it is told to.
+// node is a transport whose handler counts the runs of each call and answers when a test calls answer.
 type node struct {
 	transport *link.Transport
 	group     *kernel.Group
 	address   string
 
-	mu     sync.Mutex
-	runs   map[string]int
-	calls  map[string]*link.Served
-	cancel map[string]bool
-	heard  []string
+	mu       sync.Mutex
+	runs     map[string]int
+	calls    map[string]*link.Served
+	cancel   map[string]bool
+	received []string
 }
 
 func start(t *testing.T, incarnation uint64, address string) *node {
@@ -44,7 +44,7 @@
 	return n
 }
 
-func (n *node) stop() { _ = n.group.Stop() } // The listener's own error at the end does not matter.
+func (n *node) stop() { _ = n.group.Stop() } // The listener returns an error when it is closed.
 
 func (n *node) Greeting() []byte             { return []byte("hello") }
 func (n *node) Greeted([]byte, func([]byte)) {}
@@ -53,13 +53,13 @@
 func (n *node) Heard(status []byte, _ func([]byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heard = append(n.heard, string(status))
+	n.received = append(n.received, string(status))
 }
 
 func (n *node) Notice(notice []byte, reply func([]byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heard = append(n.heard, string(notice))
+	n.received = append(n.received, string(notice))
 	if string(notice) == "ask" {
 		reply([]byte("told"))
 	}
@@ -78,7 +78,7 @@
 	})
 }
 
-func (n *node) ran(name string) int {
+func (n *node) runCount(name string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.runs[name]
@@ -90,10 +90,10 @@
 	return n.cancel[name]
 }
 
-func (n *node) hears(what string) bool {
+func (n *node) hasReceived(what string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, h := range n.heard {
+	for _, h := range n.received {
 		if h == what {
 			return true
 		}
@@ -101,10 +101,10 @@
 	return false
 }
 
-// answer answers a call once it runs.
+// answer waits until a call runs and answers it.
 func (n *node) answer(t *testing.T, name string) {
 	t.Helper()
-	eventually(t, func() bool { return n.ran(name) > 0 })
+	eventually(t, func() bool { return n.runCount(name) > 0 })
 	n.mu.Lock()
 	c := n.calls[name]
 	n.mu.Unlock()
@@ -113,7 +113,7 @@
 
 func eventually(t *testing.T, f func() bool) {
 	t.Helper()
-	require.Eventually(t, f, patience, 5*time.Millisecond)
+	require.Eventually(t, f, waitTimeout, 5*time.Millisecond)
 }
 
 func result(t *testing.T, p *link.Pending) link.Result {
@@ -121,13 +121,13 @@
 	select {
 	case r := <-p.Done:
 		return r
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("no result")
 		return nil
 	}
 }
 
-func relayed(t *testing.T) (*node, *node, *testbed.Relay) {
+func startWithRelay(t *testing.T) (*node, *node, *testbed.Relay) {
 	t.Helper()
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
 	g := kernel.NewGroup(t.Context())
@@ -136,7 +136,7 @@
 	return a, b, relay
 }
 
-// Guards against answers that reach another call when many share a connection and are answered out of order.
+// Guards against answers that are assigned to the wrong call when calls share a connection and are answered out of order.
 func TestEachCallGetsItsOwnAnswer(t *testing.T) {
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
 	p := a.transport.Peer(b.address)
@@ -147,76 +147,76 @@
 	require.Equal(t, link.Answer{Payload: []byte("answer to first")}, result(t, first))
 }
 
-// Guards against a call that runs twice, or whose answer is lost, when its connection is cut while it runs or while its
-// answer is on the way.
+// Guards against a call that runs twice, or whose answer is lost, when its connection is cut while the call runs or while
+// the answer is in transit.
 func TestCallSurvivesCutConnections(t *testing.T) {
-	a, b, relay := relayed(t)
+	a, b, relay := startWithRelay(t)
 	p := a.transport.Peer(relay.Address())
 	call := p.Call([]byte("order"))
-	eventually(t, func() bool { return b.ran("order") == 1 })
+	eventually(t, func() bool { return b.runCount("order") == 1 })
 	for range 3 {
 		relay.Cut()
 		time.Sleep(50 * time.Millisecond)
 	}
-	// Attempts that fail at once must not use up the time in which the path may come back.
+	// Connection attempts that fail at once must not shorten the time in which the path may recover.
 	relay.Refuse(true)
 	relay.Cut()
 	b.answer(t, "order")
 	time.Sleep(300 * time.Millisecond)
 	relay.Refuse(false)
 	require.Equal(t, link.Answer{Payload: []byte("answer to order")}, result(t, call))
-	require.Equal(t, 1, b.ran("order"))
+	require.Equal(t, 1, b.runCount("order"))
 }
 
-// Guards against calls that hang on a connection which went silent while new ones work.
-func TestCallLeavesASilentConnection(t *testing.T) {
-	a, b, relay := relayed(t)
+// Guards against calls that hang on an unresponsive connection while new connections work.
+func TestCallMovesOffSilentConnection(t *testing.T) {
+	a, b, relay := startWithRelay(t)
 	p := a.transport.Peer(relay.Address())
 	call := p.Call([]byte("order"))
-	eventually(t, func() bool { return b.ran("order") == 1 })
+	eventually(t, func() bool { return b.runCount("order") == 1 })
 	relay.Silence()
 	b.answer(t, "order")
 	require.Equal(t, link.Answer{Payload: []byte("answer to order")}, result(t, call))
-	require.Equal(t, 1, b.ran("order"))
+	require.Equal(t, 1, b.runCount("order"))
 }
 
-// Guards against a receiver that starts anew and runs a call that its former process may have run.
-func TestReceiverThatStartsAnewRunsNothingTwice(t *testing.T) {
+// Guards against a restarted receiver that runs a call which its former process may have run.
+func TestRestartedReceiverDoesNotRunCallsAgain(t *testing.T) {
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
 	p := a.transport.Peer(b.address)
 	call := p.Call([]byte("order"))
-	eventually(t, func() bool { return b.ran("order") == 1 })
+	eventually(t, func() bool { return b.runCount("order") == 1 })
 	b.stop()
-	again := start(t, 3, b.address)
+	restarted := start(t, 3, b.address)
 	require.Equal(t, link.Lost{Sent: true}, result(t, call))
 	next := p.Call([]byte("next"))
-	again.answer(t, "next")
+	restarted.answer(t, "next")
 	require.Equal(t, link.Answer{Payload: []byte("answer to next")}, result(t, next))
-	require.Zero(t, again.ran("order"))
+	require.Zero(t, restarted.runCount("order"))
 }
 
-// Guards against a call that waits for ever, or is sent again, because the receiver has started anew so quickly that the
-// sender never found its address closed.
-func TestNewStartOfTheReceiverIsNoticed(t *testing.T) {
-	a, b, relay := relayed(t)
+// Guards against a call that waits forever, or is resent, because the receiver restarted so quickly that no connection
+// attempt of the sender failed.
+func TestReceiverRestartIsDetected(t *testing.T) {
+	a, b, relay := startWithRelay(t)
 	call := a.transport.Peer(relay.Address()).Call([]byte("order"))
-	eventually(t, func() bool { return b.ran("order") == 1 })
-	// The relay stands for the address: the receiver that has started anew is found there at once.
+	eventually(t, func() bool { return b.runCount("order") == 1 })
+	// The relay stands for the receiver's address, where the restarted receiver is reachable at once.
 	relay.Redirect(start(t, 3, "127.0.0.1:0").address)
 	relay.Cut()
 	require.Equal(t, link.Lost{Sent: true}, result(t, call))
 }
 
-// Guards against a call that counts as sent although nobody listened at the address.
-func TestCallToNobodyWasNotSent(t *testing.T) {
+// Guards against a call that is reported as sent although nothing listened at the address.
+func TestRefusedCallWasNotSent(t *testing.T) {
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
 	b.stop()
 	require.Equal(t, link.Lost{}, result(t, a.transport.Peer(b.address).Call([]byte("order"))))
 }
 
-// Guards against a node that counts as unreachable since a call that failed long ago, although it is back and nobody has
-// called it since.
-func TestNodeThatIsBackIsReachable(t *testing.T) {
+// Guards against a node that counts as unreachable because of a call that failed long ago, although it has restarted since
+// and no call has been sent to it.
+func TestRestartedNodeIsReachable(t *testing.T) {
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
 	b.stop()
 	require.Equal(t, link.Lost{}, result(t, a.transport.Peer(b.address).Call([]byte("order"))))
@@ -225,13 +225,13 @@
 	require.Zero(t, a.transport.Unreachable(b.address))
 }
 
-// Guards against a receiver that works on for a call which nobody waits for, also when the cancellation was lost with its
-// connection, or the sender is gone.
+// Guards against a receiver that keeps running a cancelled call, also when the cancellation was lost with its connection or
+// the sender has stopped.
 func TestCancellationReachesTheReceiver(t *testing.T) {
-	a, b, relay := relayed(t)
+	a, b, relay := startWithRelay(t)
 	p := a.transport.Peer(relay.Address())
 	plain, cut := p.Call([]byte("plain")), p.Call([]byte("cut"))
-	eventually(t, func() bool { return b.ran("plain") == 1 && b.ran("cut") == 1 })
+	eventually(t, func() bool { return b.runCount("plain") == 1 && b.runCount("cut") == 1 })
 	plain.Cancel()
 	eventually(t, func() bool { return b.cancelled("plain") })
 	relay.Refuse(true)
@@ -244,18 +244,18 @@
 	b.answer(t, "keep")
 	result(t, keep)
 	last := p.Call([]byte("last"))
-	eventually(t, func() bool { return b.ran("last") == 1 })
+	eventually(t, func() bool { return b.runCount("last") == 1 })
 	a.stop()
 	eventually(t, func() bool { return b.cancelled("last") })
 	_ = last
 }
 
-// Guards against answers that go out on a connection which its sender has given up: a receiver that was paused accepts it
-// after the one that lives. Found by the soak, seed 202.
-func TestAnswerTakesTheConnectionOfItsCall(t *testing.T) {
+// Guards against answers that go out on a connection which the sender has abandoned. A receiver that was paused may accept
+// that connection after the live one. Found by the soak test, seed 202.
+func TestAnswerUsesConnectionOfItsCall(t *testing.T) {
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
 	call := a.transport.Peer(b.address).Call([]byte("order"))
-	eventually(t, func() bool { return b.ran("order") == 1 })
+	eventually(t, func() bool { return b.runCount("order") == 1 })
 	dead, err := net.Dial("tcp", b.address)
 	require.NoError(t, err)
 	_, err = dead.Write(link.Hello(1))
@@ -268,30 +268,30 @@
 	require.Equal(t, link.Answer{Payload: []byte("answer to order")}, result(t, call))
 }
 
-// Guards against news that does not reach a kept node, or whose reply is lost.
-func TestKeptNodesHearEachOther(t *testing.T) {
+// Guards against statuses and notices that do not reach a persistent peer, and against lost replies.
+func TestPersistentPeersExchangeMessages(t *testing.T) {
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
 	a.transport.Connect([]string{b.address})
-	eventually(t, func() bool { return a.hears("status") && b.hears("status") })
+	eventually(t, func() bool { return a.hasReceived("status") && b.hasReceived("status") })
 	require.True(t, a.transport.Notify(b.address, []byte("ask")))
-	eventually(t, func() bool { return a.hears("told") })
+	eventually(t, func() bool { return a.hasReceived("told") })
 	require.Equal(t, 1, a.transport.Broadcast([]byte("news")))
-	eventually(t, func() bool { return b.hears("news") })
-	// A node that has ended is connected to again when it is back.
+	eventually(t, func() bool { return b.hasReceived("news") })
+	// A peer that has restarted is reconnected.
 	b.stop()
-	again := start(t, 3, b.address)
-	eventually(t, func() bool { return again.hears("status") })
+	restarted := start(t, 3, b.address)
+	eventually(t, func() bool { return restarted.hasReceived("status") })
 }
 
-// Guards against bytes of another protocol that end a node or hold a connection open.
-func TestOtherProtocolsAreTurnedAway(t *testing.T) {
+// Guards against bytes of another protocol that crash a node or keep a connection open.
+func TestOtherProtocolsAreRejected(t *testing.T) {
 	n := start(t, 1, "127.0.0.1:0")
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x01\x01", "\xff\xff\xff\xff\x01\x00\x00\x00\x00\x00\x00\x00\x00"} {
 		c, err := net.Dial("tcp", n.address)
 		require.NoError(t, err)
 		_, err = c.Write([]byte(text))
 		require.NoError(t, err)
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 		buffer := make([]byte, 256)
 		for err == nil {
 			_, err = c.Read(buffer)
--- a/link/peer.go
+++ b/link/peer.go
@@ -10,41 +10,41 @@
 const (
 	// dialTimeout bounds a connection attempt. Two round trips between regions take 120 ms.
 	dialTimeout = 500 * time.Millisecond
-	// helloTimeout bounds the wait for the other end's greeting.
+	// helloTimeout bounds the wait for the peer's hello frame.
 	helloTimeout = 700 * time.Millisecond
-	// quietInterval is how long a connection with calls under way, or one that is kept, may be quiet before a ping is sent.
-	quietInterval = 500 * time.Millisecond
-	// silentInterval is how long nothing may be heard after a ping before the connection counts as silent.
-	silentInterval = time.Second
-	// statusInterval is the period of pings on a kept connection, so that statuses are exchanged while calls flow too.
+	// idlePingDelay is how long nothing may be read from a persistent connection, or one with pending calls, before a ping.
+	idlePingDelay = 500 * time.Millisecond
+	// pongTimeout is how long nothing may be read after a ping before the connection is closed as unresponsive.
+	pongTimeout = time.Second
+	// statusInterval is the period of pings on a persistent connection, so that busy connections exchange statuses too.
 	statusInterval = time.Second
-	// idleInterval is how long a connection that is not kept may be without calls before it is closed.
-	idleInterval = 30 * time.Second
-	// firstRedial and longestRedial bound the pause between connection attempts to a kept address.
-	firstRedial   = 100 * time.Millisecond
-	longestRedial = 2 * time.Second
-	// lostAfter is how long connection attempts must fail before calls that were sent are given up.
-	lostAfter = time.Second
+	// idleTimeout is how long a connection that is not persistent may be without calls before it is closed.
+	idleTimeout = 30 * time.Second
+	// minRedialBackoff and maxRedialBackoff bound the backoff between connection attempts.
+	minRedialBackoff = 100 * time.Millisecond
+	maxRedialBackoff = 2 * time.Second
+	// unreachableTimeout is how long connection attempts must fail before sent calls are reported as lost.
+	unreachableTimeout = time.Second
 )
 
-// Result is the end of a call: Answer or Lost.
+// Result is the outcome of a call: Answer or Lost.
 type Result interface{ result() }
 
-// Answer is the other node's answer.
+// Answer is the receiver's answer to a call.
 type Answer struct{ Payload []byte }
 
-// Lost means that there is no answer.
+// Lost reports a call that ended without an answer.
 type Lost struct {
-	// Sent is set when the call may have reached the other node.
+	// Sent is set when the call may have reached the receiver.
 	Sent bool
 }
 
 func (Answer) result() {}
 func (Lost) result()   {}
 
-// Pending is a call under way.
+// Pending is a call in flight.
 type Pending struct {
-	// Done receives the end of the call.
+	// Done receives the result of the call.
 	Done    chan Result
 	peer    *Peer
 	number  uint64
@@ -52,41 +52,41 @@
 	sent    bool
 }
 
-// Peer is the sending side towards one address.
+// Peer sends calls to the node at one address.
 type Peer struct {
 	t       *Transport
 	address string
 
-	mu      sync.Mutex
-	conn    *conn
-	dialing bool
-	kept    bool
-	// incarnation is the receiver's start that sent calls belong to.
+	mu         sync.Mutex
+	conn       *conn
+	dialing    bool
+	persistent bool
+	// incarnation is the receiver's incarnation at the last handshake; sent calls belong to it.
 	incarnation uint64
-	next        uint64
+	lastNumber  uint64
 	pending     map[uint64]*Pending
 	failures    int
-	// failedAt and lastFailure are when the first and the last of the failed connection attempts in a row ended.
-	failedAt    time.Duration
-	lastFailure time.Duration
-	redialAt    time.Duration
-	used        time.Duration
-	// pinged is when the last ping was sent, and waiting says that nothing was read since.
-	pinged  time.Duration
-	waiting bool
-	// settled is the last number that the receiver was told.
-	settled uint64
+	// firstFailure and lastFailure are when the first and the last of the consecutive failed connection attempts ended.
+	firstFailure time.Duration
+	lastFailure  time.Duration
+	redialAt     time.Duration
+	lastUsed     time.Duration
+	// lastPing is when the last ping was sent, and awaitingPong is set while nothing has been read since.
+	lastPing     time.Duration
+	awaitingPong bool
+	// acked is the number in the last ack that was sent.
+	acked uint64
 }
 
-// Call sends a call. The result arrives on Done unless the call is cancelled.
+// Call sends a call and returns at once. The result arrives on Done unless the call is cancelled.
 func (p *Peer) Call(payload []byte) *Pending {
 	c := &Pending{Done: make(chan Result, 1), peer: p, payload: payload}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next++
-	c.number = p.next
+	p.lastNumber++
+	c.number = p.lastNumber
 	p.pending[c.number] = c
-	p.used = p.t.age()
+	p.lastUsed = p.t.uptime()
 	if p.conn != nil {
 		p.sendLocked(c)
 	} else {
@@ -95,7 +95,7 @@
 	return c
 }
 
-// Cancel tells the other node that the answer is not needed any more; no result follows.
+// Cancel abandons the call and sends a cancellation if the call was sent; no result arrives on Done.
 func (c *Pending) Cancel() {
 	p := c.peer
 	p.mu.Lock()
@@ -114,41 +114,41 @@
 	p.conn.send(frame{kind: kindCall, number: c.number, payload: c.payload})
 }
 
-func (p *Peer) settleLocked(number uint64, r Result) {
+func (p *Peer) completeLocked(number uint64, r Result) {
 	if c, ok := p.pending[number]; ok {
 		delete(p.pending, number)
 		c.Done <- r
 	}
 }
 
-// keep says whether the connection is held open without calls.
-func (p *Peer) keep(kept bool) {
+// setPersistent sets whether the connection is kept open while no calls are in flight.
+func (p *Peer) setPersistent(persistent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.kept = kept
-	if kept && p.conn == nil && p.t.age() >= p.redialAt {
+	p.persistent = persistent
+	if persistent && p.conn == nil && p.t.uptime() >= p.redialAt {
 		p.dialLocked()
 	}
 }
 
-// unreachable returns the time between the first and the last of the connection attempts that have failed in a row.
-func (p *Peer) unreachable() time.Duration {
+// unreachableFor returns the time between the first and the last of the consecutive failed connection attempts.
+func (p *Peer) unreachableFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.failures == 0 || p.conn != nil {
 		return 0
 	}
-	// An attempt that has just failed for the first time counts too.
-	return max(p.lastFailure-p.failedAt, 1)
+	// A single failed attempt must not yield 0, which means that the node is not known to be unreachable.
+	return max(p.lastFailure-p.firstFailure, 1)
 }
 
-// reach waits for a connection attempt unless a connection is open or another attempt is under way.
-func (p *Peer) reach() {
+// tryDial dials and waits for the outcome, unless a connection is open or another attempt is in progress.
+func (p *Peer) tryDial() {
 	p.mu.Lock()
-	vain := p.conn != nil || p.dialing || p.t.group.Context().Err() != nil
-	p.dialing = p.dialing || !vain
+	skip := p.conn != nil || p.dialing || p.t.group.Context().Err() != nil
+	p.dialing = p.dialing || !skip
 	p.mu.Unlock()
-	if !vain {
+	if !skip {
 		p.dial()
 	}
 }
@@ -173,51 +173,52 @@
 func (p *Peer) dial() {
 	k, incarnation, err := p.t.open(p.address)
 	if err != nil {
-		p.failed(err)
+		p.dialFailed(err)
 		return
 	}
-	p.opened(k, incarnation)
+	p.connected(k, incarnation)
 }
 
-// failed settles the calls that cannot be sent. Calls that were sent before stay under way for a while, since the path may
-// come back, unless nothing listens at the address any more.
-func (p *Peer) failed(err error) {
+// dialFailed reports unsent calls as lost. Sent calls stay pending until unreachableTimeout, since the network path may
+// recover, unless the connection was refused.
+func (p *Peer) dialFailed(err error) {
 	refused := errors.Is(err, ErrRefused)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialing = false
 	if p.failures == 0 {
-		p.failedAt = p.t.age()
+		p.firstFailure = p.t.uptime()
 	}
 	p.failures++
-	p.lastFailure = p.t.age()
-	p.redialAt = p.t.age() + min(longestRedial, firstRedial<<min(p.failures, 10))
-	lost := refused || p.t.age()-p.failedAt >= lostAfter
+	p.lastFailure = p.t.uptime()
+	p.redialAt = p.t.uptime() + min(maxRedialBackoff, minRedialBackoff<<min(p.failures, 10))
+	giveUp := refused || p.t.uptime()-p.firstFailure >= unreachableTimeout
 	for number, c := range p.pending {
 		switch {
 		case !c.sent:
-			p.settleLocked(number, Lost{})
-		case lost:
-			p.settleLocked(number, Lost{Sent: true})
+			p.completeLocked(number, Lost{})
+		case giveUp:
+			p.completeLocked(number, Lost{Sent: true})
 		}
 	}
 }
 
-// opened sends the calls that have no answer yet. Those that an earlier start of the receiver got may have run there.
-func (p *Peer) opened(k *conn, incarnation uint64) {
+// connected resends the unanswered calls. Calls that were sent to an earlier incarnation of the receiver are lost, since they
+// may have run there.
+func (p *Peer) connected(k *conn, incarnation uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dialing, p.conn, p.failures, p.waiting = false, k, 0, false
-	p.used = p.t.age()
+	p.dialing, p.conn, p.failures, p.awaitingPong = false, k, 0, false
+	p.lastUsed = p.t.uptime()
 	if p.incarnation != incarnation {
 		for number, c := range p.pending {
 			if c.sent {
-				p.settleLocked(number, Lost{Sent: true})
+				p.completeLocked(number, Lost{Sent: true})
 			}
 		}
 		p.incarnation = incarnation
 	}
-	p.settledLocked()
+	p.sendAckLocked()
 	for _, c := range p.pending {
 		p.sendLocked(c)
 	}
@@ -231,15 +232,15 @@
 	})
 }
 
-// settledLocked tells the receiver which answers are not needed any more.
-func (p *Peer) settledLocked() {
-	least := p.next + 1
+// sendAckLocked acknowledges all calls below the oldest pending one, so that the receiver can drop their answers.
+func (p *Peer) sendAckLocked() {
+	lowest := p.lastNumber + 1
 	for number := range p.pending {
-		least = min(least, number)
+		lowest = min(lowest, number)
 	}
-	if least != p.settled {
-		p.settled = least
-		p.conn.send(frame{kind: kindSettled, number: least})
+	if lowest != p.acked {
+		p.acked = lowest
+		p.conn.send(frame{kind: kindAck, number: lowest})
 	}
 }
 
@@ -249,21 +250,21 @@
 		if err != nil {
 			break
 		}
-		k.heard.Store(int64(p.t.age()))
-		p.take(k, f)
+		k.lastRead.Store(int64(p.t.uptime()))
+		p.handleFrame(k, f)
 	}
-	p.lost(k)
+	p.connectionLost(k)
 }
 
-func (p *Peer) take(k *conn, f frame) {
+func (p *Peer) handleFrame(k *conn, f frame) {
 	switch f.kind {
-	case kindAnswer, kindUnknown:
+	case kindAnswer, kindOutcomeUnknown:
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if f.kind == kindAnswer {
-			p.settleLocked(f.number, Answer{f.payload})
+			p.completeLocked(f.number, Answer{f.payload})
 		} else {
-			p.settleLocked(f.number, Lost{Sent: true})
+			p.completeLocked(f.number, Lost{Sent: true})
 		}
 	case kindPong:
 		p.t.Handler.Heard(f.payload, k.reply)
@@ -272,11 +273,11 @@
 	}
 }
 
-// reply sends a notice back on the connection that news came on.
+// reply sends a notice on the connection. It is passed to the Handler along with a received message.
 func (k *conn) reply(notice []byte) { k.send(frame{kind: kindNotice, payload: notice}) }
 
-// lost opens another connection when calls wait for their answers.
-func (p *Peer) lost(k *conn) {
+// connectionLost closes k and redials if calls are pending or the connection is persistent.
+func (p *Peer) connectionLost(k *conn) {
 	k.close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -284,38 +285,39 @@
 		return
 	}
 	p.conn = nil
-	p.redialAt = p.t.age()
-	if len(p.pending) > 0 || p.kept {
+	p.redialAt = p.t.uptime()
+	if len(p.pending) > 0 || p.persistent {
 		p.dialLocked()
 	}
 }
 
-// check pings a quiet connection, closes a silent or an idle one, and redials a kept address.
-func (p *Peer) check() {
-	now := p.t.age()
+// maintain pings a quiet connection, closes an unresponsive or idle one, redials when a connection is needed, and sends
+// acks.
+func (p *Peer) maintain() {
+	now := p.t.uptime()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn == nil {
-		if (p.kept || len(p.pending) > 0) && now >= p.redialAt {
+		if (p.persistent || len(p.pending) > 0) && now >= p.redialAt {
 			p.dialLocked()
 		}
 		return
 	}
-	heard := time.Duration(p.conn.heard.Load())
-	if heard > p.pinged {
-		p.waiting = false
+	lastRead := time.Duration(p.conn.lastRead.Load())
+	if lastRead > p.lastPing {
+		p.awaitingPong = false
 	}
-	switch needed := p.kept || len(p.pending) > 0; {
-	case p.waiting && needed && now-p.pinged >= silentInterval:
-		p.t.Log.Warn("link-silent", "node", p.address, "quiet", now-heard, "calls", len(p.pending))
-		p.conn.close() // The reader sees the end and opens another connection.
-	case !p.waiting && (needed && now-heard >= quietInterval || p.kept && now-p.pinged >= statusInterval):
-		p.waiting, p.pinged = true, now
+	switch needed := p.persistent || len(p.pending) > 0; {
+	case p.awaitingPong && needed && now-p.lastPing >= pongTimeout:
+		p.t.Log.Warn("link-silent", "node", p.address, "quiet", now-lastRead, "calls", len(p.pending))
+		p.conn.close() // The read loop fails and redials.
+	case !p.awaitingPong && (needed && now-lastRead >= idlePingDelay || p.persistent && now-p.lastPing >= statusInterval):
+		p.awaitingPong, p.lastPing = true, now
 		p.conn.send(frame{kind: kindPing, payload: p.t.Handler.Status()})
-	case !needed && now-p.used > idleInterval:
+	case !needed && now-p.lastUsed > idleTimeout:
 		p.conn.close()
 	}
-	p.settledLocked()
+	p.sendAckLocked()
 }
 
 func (p *Peer) close() {
@@ -326,14 +328,14 @@
 	}
 }
 
-// open dials an address and exchanges greetings.
+// open dials an address and exchanges hello frames.
 func (t *Transport) open(address string) (*conn, uint64, error) {
 	c, err := Dial(address, dialTimeout)
 	if err != nil {
 		return nil, 0, err
 	}
 	k := newConn(c)
-	incarnation, err := t.greet(k)
+	incarnation, err := t.handshake(k)
 	if err != nil {
 		k.close()
 		return nil, 0, err
@@ -341,7 +343,7 @@
 	return k, incarnation, nil
 }
 
-func (t *Transport) greet(k *conn) (uint64, error) {
+func (t *Transport) handshake(k *conn) (uint64, error) {
 	if err := k.c.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return 0, err
 	}
@@ -354,12 +356,12 @@
 		return 0, err
 	}
 	if f.kind != kindHello {
-		return 0, Err.New("the other end opened with frame kind %d: it speaks another protocol", f.kind)
+		return 0, Err.New("first frame has kind %d instead of hello: the peer uses another protocol", f.kind)
 	}
 	if err := k.c.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
 	}
-	k.heard.Store(int64(t.age()))
+	k.lastRead.Store(int64(t.uptime()))
 	t.Handler.Greeted(f.payload, k.reply)
 	return f.number, nil
 }
--- a/link/session.go
+++ b/link/session.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// orphanInterval is how long calls of a sender without a connection go on before they are cancelled.
-	orphanInterval = 3 * time.Second
-	// sessionLife is how long a sender without a connection is remembered, so that its calls are not run again. It is
-	// longer than any sender tries to reach a node with calls under way.
-	sessionLife = 60 * time.Second
-	// maxCalls bounds the calls of one sender that are kept.
-	maxCalls = 16384
+	// orphanTimeout is how long the calls of a disconnected sender keep running before they are cancelled.
+	orphanTimeout = 3 * time.Second
+	// sessionTTL is how long the session of a disconnected sender is stored, so that its calls are not run again. It is
+	// longer than any sender tries to reconnect while it has pending calls.
+	sessionTTL = 60 * time.Second
+	// maxCallsPerSession bounds the stored calls of one sender.
+	maxCallsPerSession = 16384
 )
 
-// Served is a call of another node; Answer must be called once.
+// Served is a call received from another node. The handler must call Answer once.
 type Served struct {
-	// Payload is what the sender sent; it is dropped with the answer.
+	// Payload is the payload of the call; Answer sets it to nil.
 	Payload []byte
 
 	session *session
 	number  uint64
-	// The other fields are guarded by session.mu. The answer goes out on the connection that the call came on last: of two
-	// connections of a sender the one that was accepted later need not be the one that lives.
+	// The other fields are guarded by session.mu. The answer goes out on the connection on which the call arrived last: if a
+	// sender has two connections, the one that was accepted later is not always the live one.
 	conn      *conn
 	cancelled bool
 	onCancel  func()
@@ -33,21 +33,21 @@
 	answer    []byte
 }
 
-// session is what is known of one start of a sender.
+// session holds the calls of one incarnation of a sender.
 type session struct {
 	incarnation uint64
 
 	mu sync.Mutex
-	// open is the number of connections.
-	open int
-	// settled is the number below which the sender needs no answers; calls below it never run.
-	settled uint64
-	calls   map[uint64]*Served
-	// gone is when the last connection was lost.
-	gone time.Duration
+	// connections is the number of open connections of the sender.
+	connections int
+	// acked is the number below which the sender needs no answers; calls below it are never started.
+	acked uint64
+	calls map[uint64]*Served
+	// disconnectedAt is when a connection was last lost.
+	disconnectedAt time.Duration
 }
 
-// serve reads the frames of one accepted connection.
+// serve handles one accepted connection until it closes.
 func (t *Transport) serve(c net.Conn) {
 	k := newConn(c)
 	t.mu.Lock()
@@ -59,15 +59,15 @@
 		defer t.mu.Unlock()
 		delete(t.accepted, k)
 	}()
-	if err := watchSilence(c); err != nil {
+	if err := setUserTimeout(c); err != nil {
 		t.Log.Warn("link-option-failed", "error", err)
 		return
 	}
-	incarnation, err := t.greet(k)
+	incarnation, err := t.handshake(k)
 	if err != nil {
 		return
 	}
-	s := t.session(incarnation)
+	s := t.attach(incarnation)
 	if s == nil {
 		t.Log.Warn("link-too-many-senders", "limit", maxSessions)
 		return
@@ -81,12 +81,12 @@
 		if err != nil {
 			break
 		}
-		t.take(s, k, f)
+		t.handleFrame(s, k, f)
 	}
-	s.detach(t.age())
+	s.detach(t.uptime())
 }
 
-func (t *Transport) take(s *session, k *conn, f frame) {
+func (t *Transport) handleFrame(s *session, k *conn, f frame) {
 	switch f.kind {
 	case kindCall:
 		if c := s.admit(k, f); c != nil {
@@ -94,8 +94,8 @@
 		}
 	case kindCancel:
 		s.cancel(f.number)
-	case kindSettled:
-		s.settle(f.number)
+	case kindAck:
+		s.acknowledge(f.number)
 	case kindPing:
 		k.send(frame{kind: kindPong, payload: t.Handler.Status()})
 		t.Handler.Heard(f.payload, k.reply)
@@ -107,11 +107,11 @@
 func (s *session) detach(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
-	s.gone = now
+	s.connections--
+	s.disconnectedAt = now
 }
 
-// admit returns a call that is new. A repeated one is attached to the running call or gets the kept answer.
+// admit returns a new call, or nil for a resent one, which is attached to the running call or gets the stored answer.
 func (s *session) admit(k *conn, f frame) *Served {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,9 +122,9 @@
 		}
 		return nil
 	}
-	if f.number < s.settled || len(s.calls) >= maxCalls {
-		// Below the mark the sender has its answer, or has given up and was told that the call may have run.
-		k.send(frame{kind: kindUnknown, number: f.number})
+	if f.number < s.acked || len(s.calls) >= maxCallsPerSession {
+		// The sender has the answer of a call below acked, or has reported to its caller that the call may have run.
+		k.send(frame{kind: kindOutcomeUnknown, number: f.number})
 		return nil
 	}
 	c := &Served{Payload: f.payload, session: s, number: f.number, conn: k}
@@ -136,8 +136,8 @@
 	s.mu.Lock()
 	c, ok := s.calls[number]
 	if !ok {
-		// The cancellation overtook its call, which may still come on an older connection: it must not run.
-		if number >= s.settled && len(s.calls) < maxCalls {
+		// The cancellation arrived before its call, which may still arrive on an older connection and must not run.
+		if number >= s.acked && len(s.calls) < maxCallsPerSession {
 			s.calls[number] = &Served{session: s, number: number, cancelled: true, done: true}
 		}
 		s.mu.Unlock()
@@ -148,7 +148,7 @@
 	f()
 }
 
-// cancelLocked returns what is to be called once the lock is released.
+// cancelLocked marks the call as cancelled and returns a callback to run after the lock is released.
 func (c *Served) cancelLocked() func() {
 	f := c.onCancel
 	if c.cancelled || c.done || f == nil {
@@ -158,7 +158,7 @@
 	return f
 }
 
-// OnCancel has f called once when the answer is not needed any more, at once when that is so already.
+// OnCancel registers f to be called once when the call is cancelled, or calls it at once if that has already happened.
 func (c *Served) OnCancel(f func()) {
 	c.session.mu.Lock()
 	c.onCancel = f
@@ -169,14 +169,15 @@
 	}
 }
 
-// settle drops the answers below a number. A call below it that still runs is cancelled, since nobody waits for it.
-func (s *session) settle(number uint64) {
+// acknowledge drops the stored answers below number. It cancels calls below it that still run, since the sender no longer
+// needs their answers.
+func (s *session) acknowledge(number uint64) {
 	s.mu.Lock()
-	s.settled = max(s.settled, number)
+	s.acked = max(s.acked, number)
 	var cancels []func()
 	for n, c := range s.calls {
 		switch {
-		case n >= s.settled:
+		case n >= s.acked:
 		case c.done:
 			delete(s.calls, n)
 		default:
@@ -189,7 +190,7 @@
 	}
 }
 
-// Answer sends the answer and keeps it until the sender needs it no more.
+// Answer sends the answer and stores it until the sender acknowledges it.
 func (c *Served) Answer(payload []byte) {
 	s := c.session
 	s.mu.Lock()
@@ -199,7 +200,7 @@
 	}
 	c.done = true
 	c.Payload = nil
-	if c.number < s.settled {
+	if c.number < s.acked {
 		delete(s.calls, c.number)
 		return
 	}
@@ -209,16 +210,17 @@
 	}
 }
 
-// check cancels the calls of a sender that is gone, and reports whether it can be forgotten.
-func (s *session) check(now time.Duration) bool {
+// cancelOrphans cancels the calls of a sender that has been disconnected for longer than orphanTimeout, and reports whether
+// the session has expired.
+func (s *session) cancelOrphans(now time.Duration) bool {
 	s.mu.Lock()
-	if s.open > 0 {
+	if s.connections > 0 {
 		s.mu.Unlock()
 		return false
 	}
-	age := now - s.gone
+	disconnected := now - s.disconnectedAt
 	var cancels []func()
-	if age > orphanInterval {
+	if disconnected > orphanTimeout {
 		for _, c := range s.calls {
 			cancels = append(cancels, c.cancelLocked())
 		}
@@ -227,5 +229,5 @@
 	for _, f := range cancels {
 		f()
 	}
-	return age > sessionLife
+	return disconnected > sessionTTL
 }
--- a/link/transport.go
+++ b/link/transport.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// upkeepInterval is the period at which connections and calls are looked over.
-	upkeepInterval = 250 * time.Millisecond
-	// maxSessions bounds the senders that are known.
+	// maintenanceInterval is the period of the checks of connections and sessions.
+	maintenanceInterval = 250 * time.Millisecond
+	// maxSessions bounds the sessions of senders.
 	maxSessions = 8192
-	// acceptPause is the pause after a failure to accept, as when descriptors run out.
-	acceptPause = 50 * time.Millisecond
+	// acceptRetryDelay is the delay after a failed accept, for example when file descriptors run out.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Handler takes what other nodes send. Its methods must not block.
+// Handler handles the messages of other nodes. Its methods must not block.
 type Handler interface {
-	// Greeting returns what is said of this node when a connection opens.
+	// Greeting returns the payload of this node's hello frame.
 	Greeting() []byte
-	// Greeted takes the other node's greeting; reply sends a notice back on the same connection.
+	// Greeted handles the payload of a hello frame; reply sends a notice on the same connection.
 	Greeted(greeting []byte, reply func(notice []byte))
-	// Call takes a call. The handler settles it through c.
+	// Call handles a call. The handler must answer it with c.Answer.
 	Call(c *Served)
-	// Status returns what pings and pongs carry.
+	// Status returns the payload of pings and pongs.
 	Status() []byte
-	// Heard takes the status of another node; reply sends a notice back on the same connection.
+	// Heard handles the status of another node; reply sends a notice on the same connection.
 	Heard(status []byte, reply func(notice []byte))
-	// Notice takes a notice; reply sends another one back on the same connection.
+	// Notice handles a notice; reply sends another one on the same connection.
 	Notice(notice []byte, reply func(notice []byte))
 }
 
@@ -40,7 +40,7 @@
 	Clock   kernel.Clock
 	Log     *event.Log
 	Handler Handler
-	// Incarnation tells this start of the node from earlier ones.
+	// Incarnation distinguishes this process of the node from earlier ones.
 	Incarnation uint64
 
 	group   *kernel.Group
@@ -52,12 +52,12 @@
 	accepted map[*conn]struct{}
 }
 
-// Start serves a listener and keeps connections until the group stops.
+// Start accepts connections from the listener and maintains connections until the group stops.
 func (t *Transport) Start(g *kernel.Group, ln net.Listener) {
 	t.group, t.started = g, t.Clock.Now()
 	t.peers, t.sessions, t.accepted = map[string]*Peer{}, map[uint64]*session{}, map[*conn]struct{}{}
 	g.Go("link-accept", func(ctx context.Context) error { return t.accept(ctx, ln) })
-	g.Go("link-upkeep", t.upkeep)
+	g.Go("link-upkeep", t.maintain)
 	g.Go("link-close", func(ctx context.Context) error {
 		<-ctx.Done()
 		t.closeAll()
@@ -73,12 +73,12 @@
 		}
 		if err != nil {
 			t.Log.Warn("link-accept-failed", "error", err)
-			pause := time.NewTimer(acceptPause)
+			retry := time.NewTimer(acceptRetryDelay)
 			select {
 			case <-ctx.Done():
-				pause.Stop()
+				retry.Stop()
 				return nil
-			case <-pause.C:
+			case <-retry.C:
 			}
 			continue
 		}
@@ -89,10 +89,10 @@
 	}
 }
 
-// age returns the time since the start, for comparing moments without locks.
-func (t *Transport) age() time.Duration { return t.Clock.Now().Sub(t.started) }
+// uptime returns the time since Start. Times are kept as durations so that they fit into atomic integers.
+func (t *Transport) uptime() time.Duration { return t.Clock.Now().Sub(t.started) }
 
-// Peer returns the sending side towards an address.
+// Peer returns the Peer for an address and creates it if needed.
 func (t *Transport) Peer(address string) *Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,26 +124,26 @@
 	return list
 }
 
-// Connect keeps connections to these addresses open, also while no call is sent.
+// Connect makes the connections to exactly these addresses persistent: they stay open while no calls are in flight.
 func (t *Transport) Connect(addresses []string) {
 	wanted := kernel.SetOf(addresses...)
 	for address := range wanted {
 		t.Peer(address)
 	}
 	for _, p := range t.allPeers() {
-		p.keep(wanted.Has(p.address))
+		p.setPersistent(wanted.Has(p.address))
 	}
 }
 
-// Unreachable returns for how long every attempt to connect to a node has failed; 0 when none was made since the last
-// connection. It makes another attempt if earlier ones have failed, since they may have been long ago.
+// Unreachable returns for how long every attempt to connect to a node has failed, or 0 if none has failed since the last
+// connection. If earlier attempts have failed, it makes another one, since they may have been long ago.
 func (t *Transport) Unreachable(address string) time.Duration {
 	p := t.Peer(address)
-	if p.unreachable() == 0 {
+	if p.unreachableFor() == 0 {
 		return 0
 	}
-	p.reach()
-	return p.unreachable()
+	p.tryDial()
+	return p.unreachableFor()
 }
 
 // Notify sends a notice to a node if a connection is open, and reports whether it was sent.
@@ -151,8 +151,8 @@
 	return t.Peer(address).notify(notice)
 }
 
-func (t *Transport) upkeep(ctx context.Context) error {
-	timer := time.NewTicker(upkeepInterval)
+func (t *Transport) maintain(ctx context.Context) error {
+	timer := time.NewTicker(maintenanceInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -161,28 +161,28 @@
 		case <-timer.C:
 		}
 		for _, p := range t.allPeers() {
-			p.check()
+			p.maintain()
 		}
 		for _, s := range t.allSessions() {
-			if s.check(t.age()) {
-				t.forget(s)
+			if s.cancelOrphans(t.uptime()) {
+				t.removeSession(s)
 			}
 		}
 	}
 }
 
-// forget drops a sender unless it has connected again meanwhile.
-func (t *Transport) forget(s *session) {
+// removeSession removes a session unless its sender has reconnected.
+func (t *Transport) removeSession(s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open == 0 {
+	if s.connections == 0 {
 		delete(t.sessions, s.incarnation)
 	}
 }
 
-// Broadcast sends a notice on every open connection and returns on how many.
+// Broadcast sends a notice on every open connection and returns on how many it was sent.
 func (t *Transport) Broadcast(notice []byte) int {
 	count := 0
 	for _, p := range t.allPeers() {
@@ -200,8 +200,8 @@
 	return count
 }
 
-// session returns what is known of the sender at the other end of a new connection, or nil when there are too many senders.
-func (t *Transport) session(incarnation uint64) *session {
+// attach adds a new connection to the sender's session, which it creates if needed, or returns nil at maxSessions.
+func (t *Transport) attach(incarnation uint64) *session {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.sessions[incarnation]
@@ -214,7 +214,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open++
+	s.connections++
 	return s
 }
 
