--- a/directory/directory.go
+++ b/directory/directory.go
@@ -7,19 +7,19 @@
 	"slices"
 )
 
-// State says whether a backend server takes calls.
+// State is the availability of a backend server for calls.
 type State uint8
 
 const (
-	// Absent means that no backend server has announced itself yet.
+	// Absent means that no backend server has announced itself, or that the last one is unreachable.
 	Absent State = iota
-	// Serving means that the backend server takes calls.
+	// Serving means that the backend server accepts calls.
 	Serving
-	// Leaving means that the backend server takes no new calls.
+	// Leaving means that the backend server accepts no new calls.
 	Leaving
 )
 
-// String returns the state as logs write it.
+// String returns the name of the state in logs.
 func (s State) String() string {
 	switch s {
 	case Serving:
@@ -32,28 +32,28 @@
 }
 
 const (
-	// maxNodes bounds the nodes that are known.
+	// maxNodes bounds the entries of a directory.
 	maxNodes = 4096
-	// maxText bounds each text of a node, in bytes.
-	maxText = 200
-	// maxSlots bounds the slots that a backend server may state.
+	// maxTextBytes bounds each string field of a node.
+	maxTextBytes = 200
+	// maxSlots bounds the slots that a backend server may announce.
 	maxSlots = 1 << 16
 )
 
-// Incarnation names one start of a backend server.
+// Incarnation identifies one process of a backend server.
 type Incarnation struct {
 	ID string `cbor:"1,keyasint"`
-	// Born is the Unix millisecond of the start, which tells starts under the same id apart.
+	// Born is the start time in Unix milliseconds, which distinguishes processes with the same id.
 	Born int64 `cbor:"2,keyasint"`
 }
 
-// Node is what a node states of itself and its backend server.
+// Node is the state that a node publishes about itself and its backend server.
 type Node struct {
-	// Address is where other nodes reach the node.
+	// Address is the address at which other nodes reach the node.
 	Address string `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
 	Region  string `cbor:"3,keyasint"`
-	// AvailabilityZone is where the node and its backend server stand.
+	// AvailabilityZone is the availability zone of the node and its backend server.
 	AvailabilityZone string      `cbor:"4,keyasint"`
 	Slots            int         `cbor:"5,keyasint"`
 	State            State       `cbor:"6,keyasint"`
@@ -63,33 +63,34 @@
 // Valid reports whether all fields are within their bounds.
 func (n Node) Valid() bool {
 	for _, text := range []string{n.Service, n.Region, n.AvailabilityZone, n.Backend.ID} {
-		if len(text) > maxText {
+		if len(text) > maxTextBytes {
 			return false
 		}
 	}
-	return n.Address != "" && len(n.Address) <= maxText && n.Slots >= 0 && n.Slots <= maxSlots && n.State <= Leaving
+	return n.Address != "" && len(n.Address) <= maxTextBytes && n.Slots >= 0 && n.Slots <= maxSlots && n.State <= Leaving
 }
 
-// Entry is a node as a row of the store states it.
+// Entry is a node as recorded in a row of the store.
 type Entry struct {
 	Node Node `cbor:"1,keyasint"`
-	// Version is the store's version of the row; the higher one wins.
+	// Version is the store's version of the row; the entry with the higher version wins.
 	Version uint64 `cbor:"2,keyasint"`
-	// Removed marks a row that was removed.
+	// Removed marks a tombstone: the row was removed from the store.
 	Removed bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Directory holds the known nodes; the caller serializes access to it. Its zero value knows none.
+// Directory holds the known nodes. The caller must serialize access to it. The zero value is an empty directory.
 type Directory struct {
 	entries map[string]Entry
-	// seen holds what a node said of itself on a connection after the row was read.
-	seen map[string]Node
-	// held holds the leavings that other nodes could not write to the store.
-	held    map[string]Incarnation
-	version uint64
+	// reported holds the state that a node reported over a connection after its row was read.
+	reported map[string]Node
+	// pendingLeavings holds, by node address, the leavings that other nodes could not write to the store.
+	pendingLeavings map[string]Incarnation
+	version         uint64
 }
 
-// Merge takes a row from the store or from another node and reports whether it was news.
+// Merge adds a row from the store or from another node and reports whether the directory changed. It ignores invalid and
+// outdated rows, and new nodes beyond maxNodes.
 func (d *Directory) Merge(e Entry) bool {
 	if !e.Node.Valid() {
 		return false
@@ -102,12 +103,12 @@
 		d.entries = map[string]Entry{}
 	}
 	d.entries[e.Node.Address] = e
-	delete(d.seen, e.Node.Address)
+	delete(d.reported, e.Node.Address)
 	d.version = max(d.version, e.Version)
 	return true
 }
 
-// Replace takes a complete list of rows as of a version; rows that are missing from it were removed.
+// Replace merges a complete list of rows as of a version. Entries up to that version that the list lacks become tombstones.
 func (d *Directory) Replace(list []Entry, version uint64) {
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
@@ -118,27 +119,28 @@
 		if !listed[address] && !e.Removed && e.Version <= version {
 			e.Version, e.Removed = version, true
 			d.entries[address] = e
-			delete(d.seen, address)
+			delete(d.reported, address)
 		}
 	}
 	d.version = max(d.version, version)
 }
 
-// Seen takes what a node said of itself on a connection, which is newer than its row, and reports whether it was news.
+// Seen records the state that a node reported over a connection, which is newer than its row, and reports whether it
+// changed. It ignores nodes without a row.
 func (d *Directory) Seen(n Node) bool {
 	e, known := d.entries[n.Address]
-	if !n.Valid() || !known || e.Removed || d.node(e) == n {
+	if !n.Valid() || !known || e.Removed || d.latest(e) == n {
 		return false
 	}
-	if d.seen == nil {
-		d.seen = map[string]Node{}
+	if d.reported == nil {
+		d.reported = map[string]Node{}
 	}
-	d.seen[n.Address] = n
+	d.reported[n.Address] = n
 	return true
 }
 
-func (d *Directory) node(e Entry) Node {
-	if n, ok := d.seen[e.Node.Address]; ok {
+func (d *Directory) latest(e Entry) Node {
+	if n, ok := d.reported[e.Node.Address]; ok {
 		return n
 	}
 	return e.Node
@@ -150,10 +152,10 @@
 	return e, ok
 }
 
-// Version returns the highest version of the store that a row was read at.
+// Version returns the highest store version that the directory has merged.
 func (d *Directory) Version() uint64 { return d.version }
 
-// Since returns the rows that are newer than a version, removed ones included.
+// Since returns the rows newer than a version in order of their versions, tombstones included.
 func (d *Directory) Since(version uint64) []Entry {
 	var list []Entry
 	for _, e := range d.entries {
@@ -165,35 +167,35 @@
 	return list
 }
 
-// Nodes returns the nodes that are not removed, in order of their addresses.
+// Nodes returns the nodes that are not removed, sorted by address.
 func (d *Directory) Nodes() []Node {
 	var list []Node
 	for _, address := range slices.Sorted(maps.Keys(d.entries)) {
 		if e := d.entries[address]; !e.Removed {
-			list = append(list, d.node(e))
+			list = append(list, d.latest(e))
 		}
 	}
 	return list
 }
 
-// Neighbours returns the nodes that a node keeps connections to: the next ones on a ring of all nodes and on a ring of its
-// region, both ordered by hash, so that news reaches every node in a few steps.
-func (d *Directory) Neighbours(address, region string, each int) []string {
-	own := place(address)
-	var all, near []Node
+// Neighbours returns the addresses of the nodes that a node keeps gossip connections to: its next perRing successors on a
+// hash ring of its region and on one of all nodes, so that updates reach every node in a few hops.
+func (d *Directory) Neighbours(address, region string, perRing int) []string {
+	own := ringHash(address)
+	var all, sameRegion []Node
 	for _, n := range d.Nodes() {
 		if n.Address == address {
 			continue
 		}
 		all = append(all, n)
 		if n.Region == region {
-			near = append(near, n)
+			sameRegion = append(sameRegion, n)
 		}
 	}
 	var list []string
-	for _, ring := range [][]Node{near, all} {
-		slices.SortFunc(ring, func(a, b Node) int { return cmp.Compare(place(a.Address)-own, place(b.Address)-own) })
-		for i := 0; i < len(ring) && i < each; i++ {
+	for _, ring := range [][]Node{sameRegion, all} {
+		slices.SortFunc(ring, func(a, b Node) int { return cmp.Compare(ringHash(a.Address)-own, ringHash(b.Address)-own) })
+		for i := 0; i < len(ring) && i < perRing; i++ {
 			if !slices.Contains(list, ring[i].Address) {
 				list = append(list, ring[i].Address)
 			}
@@ -202,25 +204,25 @@
 	return list
 }
 
-// place returns where an address stands on the ring.
-func place(address string) uint32 {
+// ringHash returns the position of an address on the hash ring.
+func ringHash(address string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(address)) // hash.Hash never returns an error.
 	return h.Sum32()
 }
 
-// Hold keeps the leaving of another node's backend server until the store holds it.
+// Hold stores the leaving of another node's backend server, which that node could not write to the store.
 func (d *Directory) Hold(address string, b Incarnation) {
-	if d.held == nil {
-		d.held = map[string]Incarnation{}
+	if d.pendingLeavings == nil {
+		d.pendingLeavings = map[string]Incarnation{}
 	}
-	if _, known := d.held[address]; known || len(d.held) < maxNodes {
-		d.held[address] = b
+	if _, known := d.pendingLeavings[address]; known || len(d.pendingLeavings) < maxNodes {
+		d.pendingLeavings[address] = b
 	}
 }
 
-// Held returns the leaving that is kept for a node.
+// Held returns the pending leaving of a node.
 func (d *Directory) Held(address string) (Incarnation, bool) {
-	b, ok := d.held[address]
+	b, ok := d.pendingLeavings[address]
 	return b, ok
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -14,7 +14,7 @@
 	return directory.Entry{Version: version, Node: directory.Node{Address: address, Service: service, Region: "rn", State: directory.Serving}}
 }
 
-// Guards against an old row that replaces a newer one when rows arrive from several sources in any order.
+// Guards against an old row that replaces a newer one when rows arrive out of order from several sources.
 func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var rows []directory.Entry
@@ -37,23 +37,23 @@
 	})
 }
 
-// Guards against a node that stays known although its row was removed while the feed of changes was not read.
-func TestReplaceRemovesWhatIsNotListed(t *testing.T) {
+// Guards against a node that stays in the directory although its row was removed while the change feed was not read.
+func TestReplaceRemovesUnlistedRows(t *testing.T) {
 	var d directory.Directory
 	d.Merge(entry("a", 3, "maps"))
 	d.Merge(entry("b", 4, "maps"))
 	d.Merge(entry("c", 9, "maps"))
 	d.Replace([]directory.Entry{entry("a", 3, "maps")}, 7)
-	var left []string
+	var remaining []string
 	for _, n := range d.Nodes() {
-		left = append(left, n.Address)
+		remaining = append(remaining, n.Address)
 	}
-	require.Equal(t, []string{"a", "c"}, left, "c was written after the list was read")
+	require.Equal(t, []string{"a", "c"}, remaining, "c was written after the list was read")
 	require.False(t, d.Merge(entry("b", 5, "maps")), "a row from before the list came back")
 }
 
-// Guards against an address that is used by another service and is still taken for the old one.
-func TestNodeIsKnownByWhatItSaidLast(t *testing.T) {
+// Guards against an address that is still attributed to its former service after another service has reused it.
+func TestNewestStateOfNodeWins(t *testing.T) {
 	var d directory.Directory
 	d.Merge(entry("a", 3, "maps"))
 	n := entry("a", 0, "nursery").Node
@@ -65,8 +65,8 @@
 	require.False(t, d.Seen(entry("unknown", 0, "maps").Node))
 }
 
-// Guards against malformed rows of another writer that name a node.
-func TestMergeRefusesWhatIsOutOfBounds(t *testing.T) {
+// Guards against malformed rows of another writer that are accepted as nodes.
+func TestMergeRejectsInvalidNodes(t *testing.T) {
 	var d directory.Directory
 	for _, n := range []directory.Node{{}, {Address: "a", Slots: -1}, {Address: "a", State: 9}, {Address: "a", Service: string(make([]byte, 300))}} {
 		require.False(t, d.Merge(directory.Entry{Node: n, Version: 1}), "%+v", n)
@@ -74,8 +74,8 @@
 	require.Empty(t, d.Nodes())
 }
 
-// Guards against nodes that nobody keeps a connection to, which would get no news while the store is away.
-func TestEveryNodeIsSomeonesNeighbour(t *testing.T) {
+// Guards against nodes that no other node keeps a connection to: they would get no updates while the store is unavailable.
+func TestEveryNodeIsANeighbour(t *testing.T) {
 	var d directory.Directory
 	regions := []string{"rn", "ce"}
 	for i := range 40 {
@@ -83,15 +83,15 @@
 		e.Node.Region = regions[i%2]
 		d.Merge(e)
 	}
-	watched := map[string]int{}
+	incoming := map[string]int{}
 	for _, n := range d.Nodes() {
 		list := d.Neighbours(n.Address, n.Region, 2)
 		require.NotContains(t, list, n.Address)
 		for _, address := range list {
-			watched[address]++
+			incoming[address]++
 		}
 	}
 	for _, n := range d.Nodes() {
-		require.GreaterOrEqual(t, watched[n.Address], 2, n.Address)
+		require.GreaterOrEqual(t, incoming[n.Address], 2, n.Address)
 	}
 }
--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,3 +1,3 @@
-// Package directory holds what a node knows of the others: who they are, at which version of the store that was written,
-// and which backend servers are recorded as leaving. It does no I/O.
+// Package directory keeps a node's view of the other nodes: their state, the store version at which each row was written,
+// and the backend servers recorded as leaving. Entries merge by version, in any order. It does no I/O.
 package directory
--- a/directory/tracker.go
+++ b/directory/tracker.go
@@ -1,34 +1,35 @@
 package directory
 
-// Heard says what an announcement of a backend server means to the node beside it.
+// Heard is the state change that an announcement of a backend server causes at its node.
 type Heard uint8
 
 const (
-	// HeardNothing means that the announcement is late or repeats what is known.
+	// HeardNothing means that the announcement is outdated or changes nothing.
 	HeardNothing Heard = iota
-	// HeardServing means that the backend server takes calls from now on.
+	// HeardServing means that the backend server accepts calls from now on.
 	HeardServing
-	// HeardLeaving means that the backend server takes no new calls from now on.
+	// HeardLeaving means that the backend server accepts no new calls from now on.
 	HeardLeaving
 )
 
-// maxLeft bounds the leavings that are remembered.
-const maxLeft = 64
+// maxLeaving bounds the leaving incarnations that a Tracker stores.
+const maxLeaving = 64
 
-// Tracker follows the backend server beside a node through its starts. Announcements may arrive late and out of order, and
-// an incarnation that is leaving never serves again. The caller serializes access to it; its zero value knows none.
+// Tracker tracks the state of a node's own backend server across restarts. Announcements may arrive late and out of order,
+// and an incarnation that is leaving never serves again. The caller must serialize access to it. The zero value is ready to
+// use and has state Absent.
 type Tracker struct {
 	current  Incarnation
 	sequence uint64
 	state    State
-	// left holds the incarnations that are leaving, the latest last.
-	left []Incarnation
+	// leaving holds the incarnations that are leaving, the most recently recorded last.
+	leaving []Incarnation
 }
 
-// Current returns the incarnation that was heard last and its state.
+// Current returns the current incarnation and its state.
 func (t *Tracker) Current() (Incarnation, State) { return t.current, t.state }
 
-// Hear takes an announcement.
+// Hear processes an announcement and returns the state change that it causes.
 func (t *Tracker) Hear(b Incarnation, sequence uint64, leaving bool) Heard {
 	switch {
 	case b.Born < t.current.Born:
@@ -40,28 +41,28 @@
 	case b.Born == t.current.Born && t.state != Absent:
 		return HeardNothing
 	}
-	fresh := b != t.current
+	isNew := b != t.current
 	t.current, t.sequence = b, max(sequence, t.sequence)
-	if fresh {
+	if isNew {
 		t.sequence, t.state = sequence, Absent
 	}
 	if leaving {
-		t.remember(b)
+		t.addLeaving(b)
 	}
 	switch {
-	case t.hasLeft(b) && t.state != Leaving:
+	case t.isLeaving(b) && t.state != Leaving:
 		t.state = Leaving
 		return HeardLeaving
-	case !t.hasLeft(b) && t.state != Serving:
+	case !t.isLeaving(b) && t.state != Serving:
 		t.state = Serving
 		return HeardServing
 	}
 	return HeardNothing
 }
 
-// Left records that an incarnation is leaving, and reports whether that changes the state of the current one.
+// Left records that an incarnation is leaving and reports whether the state of the current one changed.
 func (t *Tracker) Left(b Incarnation) bool {
-	t.remember(b)
+	t.addLeaving(b)
 	if b != t.current || t.state == Leaving || t.state == Absent {
 		return false
 	}
@@ -69,14 +70,15 @@
 	return true
 }
 
-func (t *Tracker) remember(b Incarnation) {
-	if !t.hasLeft(b) {
-		t.left = append(t.left, b)
-		t.left = t.left[max(0, len(t.left)-maxLeft):]
+func (t *Tracker) addLeaving(b Incarnation) {
+	if !t.isLeaving(b) {
+		t.leaving = append(t.leaving, b)
+		t.leaving = t.leaving[max(0, len(t.leaving)-maxLeaving):]
 	}
 }
 
-// Lost records that the current incarnation can't be reached, so that only a later announcement makes it serve again.
+// Lost records that the current incarnation is unreachable, so that only a later announcement makes it serve again, and
+// reports whether it was serving.
 func (t *Tracker) Lost() bool {
 	if t.state != Serving {
 		return false
@@ -85,9 +87,9 @@
 	return true
 }
 
-func (t *Tracker) hasLeft(b Incarnation) bool {
-	for _, left := range t.left {
-		if left == b {
+func (t *Tracker) isLeaving(b Incarnation) bool {
+	for _, known := range t.leaving {
+		if known == b {
 			return true
 		}
 	}
