--- a/event/buffer.go
+++ b/event/buffer.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// bufferedLines is the number of lines that wait for a slow reader; later ones are dropped and counted.
+	// bufferedLines is the capacity of a Buffer. Lines beyond it are dropped and counted.
 	bufferedLines = 1024
-	// flushTimeout bounds the wait for a slow reader at the end of the process.
+	// flushTimeout bounds the wait for a slow writer in Flush.
 	flushTimeout = 100 * time.Millisecond
 )
 
-// Buffer passes lines on to a writer without making their author wait; use NewBuffer.
+// Buffer writes lines to a writer asynchronously, so that logging never blocks. Create it with NewBuffer.
 type Buffer struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
-// NewBuffer returns a buffer whose lines a goroutine of the group writes to w.
+// NewBuffer returns a Buffer and starts a goroutine of the group that writes its lines to w.
 func NewBuffer(g *kernel.Group, w io.Writer) *Buffer {
 	b := &Buffer{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
 	g.Go("log", func(context.Context) error {
@@ -38,14 +38,14 @@
 				line = append([]byte("level=warn event=log-lines-dropped count="+strconv.FormatInt(n, 10)+"\n"), line...)
 			}
 			if _, err := w.Write(line); err != nil {
-				b.dropped.Add(1) // There is nowhere else to report it.
+				b.dropped.Add(1) // A failure of the log's writer is only counted: no other output reports it.
 			}
 		}
 	})
 	return b
 }
 
-// Write takes a line; it never waits and never fails.
+// Write queues a line, or drops and counts it if the buffer is full. It never blocks and never returns an error.
 func (b *Buffer) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
@@ -55,12 +55,12 @@
 	return len(line), nil
 }
 
-// Flush writes what waits, unless the reader is too slow; what is written afterwards is lost.
+// Flush writes the queued lines, unless that takes longer than flushTimeout, and stops the buffer: later lines are lost.
 func (b *Buffer) Flush() {
 	timer := time.NewTimer(flushTimeout)
 	defer timer.Stop()
 	select {
-	case b.lines <- nil: // Ends the writing goroutine.
+	case b.lines <- nil: // Stops the writing goroutine.
 	case <-timer.C:
 		return
 	}
--- a/event/buffer_test.go
+++ b/event/buffer_test.go
@@ -12,7 +12,7 @@
 	"lovagelane/kernel"
 )
 
-// slowWriter takes nothing until it is released.
+// slowWriter blocks until it is released.
 type slowWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -26,8 +26,8 @@
 	return w.text.Write(b)
 }
 
-// Guards against a process that waits for the reader of its logs, and against lines that go missing without a trace.
-func TestBufferNeverWaits(t *testing.T) {
+// Guards against a process that blocks on a slow reader of its log, and against dropped lines that are not counted.
+func TestBufferNeverBlocks(t *testing.T) {
 	w := &slowWriter{release: make(chan struct{})}
 	b := event.NewBuffer(kernel.NewGroup(context.Background()), w)
 	for range 5000 {
--- a/event/doc.go
+++ b/event/doc.go
@@ -1,2 +1,2 @@
-// Package event writes one key=value log line for each event, with a bound on repeats, and keeps the metrics of a node.
+// Package event provides the rate-limited key=value log of a node, one line for each event, and its metrics.
 package event
--- a/event/histogram.go
+++ b/event/histogram.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// slices and sliceLength give a window of 20 s to 30 s, which is also how long an idle histogram shows values.
-	slices      = 3
+	// sliceCount and sliceLength give a sliding window of 20 s to 30 s. An idle histogram shows its last values for as long.
+	sliceCount  = 3
 	sliceLength = 10 * time.Second
-	// maxDuration is the longest duration told apart, in microseconds; longer ones count as this one.
-	maxDuration = int64(2 * time.Minute / time.Microsecond)
-	// digits keeps durations to within 1%.
-	digits = 2
+	// maxMicroseconds is the longest duration that is recorded, in microseconds. Longer ones are recorded as this one.
+	maxMicroseconds = int64(2 * time.Minute / time.Microsecond)
+	// significantDigits limits the error of a recorded duration to 1%.
+	significantDigits = 2
 )
 
-// histogram counts durations in microseconds over a sliding window.
+// histogram records durations in microseconds over a sliding window.
 type histogram struct {
 	mu     sync.Mutex
 	window *hdrhistogram.WindowedHistogram
-	slice  int64 // number of the current slice
-	total  int64 // durations since the start of the process
+	slice  int64 // index of the current slice, in slices since 1970
+	total  int64 // recorded durations since the start of the process
 }
 
 func newHistogram(now time.Time) *histogram {
-	return &histogram{window: hdrhistogram.NewWindowed(slices, 1, maxDuration, digits), slice: sliceOf(now)}
+	return &histogram{window: hdrhistogram.NewWindowed(sliceCount, 1, maxMicroseconds, significantDigits), slice: sliceAt(now)}
 }
 
-func sliceOf(now time.Time) int64 { return now.Unix() / int64(sliceLength/time.Second) }
+func sliceAt(now time.Time) int64 { return now.Unix() / int64(sliceLength/time.Second) }
 
 func (h *histogram) record(now time.Time, d time.Duration) {
-	v := min(max(int64(d/time.Microsecond), 0), maxDuration)
+	v := min(max(int64(d/time.Microsecond), 0), maxMicroseconds)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.advance(now)
 	h.total++
-	_ = h.window.Current.RecordValue(v) // v is in range
+	_ = h.window.Current.RecordValue(v) // v is in range, so no error is returned
 }
 
-// advance empties the slices that have passed.
+// advance rotates the window to the current slice and clears the expired ones.
 func (h *histogram) advance(now time.Time) {
-	slice := sliceOf(now)
-	for n := min(slice-h.slice, slices); n > 0; n-- {
+	slice := sliceAt(now)
+	for n := min(slice-h.slice, sliceCount); n > 0; n-- {
 		h.window.Rotate()
 	}
 	h.slice = max(h.slice, slice)
--- a/event/log.go
+++ b/event/log.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// burst is the number of lines of one event that are written at once.
-	burst = 10
-	// refill is the time after which one more line of the event may be written.
-	refill = time.Second
-	// maxEvents bounds the table of event names; further names share one bound.
+	// defaultBurst is the size of an event's token bucket, in lines.
+	defaultBurst = 10
+	// defaultRefillInterval is the time after which an event's bucket gains a token.
+	defaultRefillInterval = time.Second
+	// maxEvents bounds the event names with a bucket of their own. Further names share one bucket.
 	maxEvents = 512
 	// timeFormat is RFC 3339 with milliseconds.
 	timeFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
-// Log writes events; a nil Log and its zero value write nothing.
+// Log writes events as log lines, with a rate limit for each event name. A nil Log and the zero value write nothing.
 type Log struct {
 	clock  kernel.Clock
 	logger *log.Logger
 
-	mu     sync.Mutex
-	bounds map[string]*bound
-	// rates holds the lines a second of events that have a rate of their own.
+	mu      sync.Mutex
+	buckets map[string]*tokenBucket
+	// rates holds the rate limits that Allow has set, in lines per second, by event name.
 	rates map[string]int
 }
 
-// bound is a token bucket that counts the lines that it held back.
-type bound struct {
+// tokenBucket limits the lines of an event and counts the suppressed ones.
+type tokenBucket struct {
 	tokens int
-	// burst is the largest number of tokens, and refill the time in which one more comes.
-	burst      int
-	refill     time.Duration
-	filled     time.Time
-	suppressed int64
+	// maxTokens is the capacity, and refillInterval the time after which a token is added.
+	maxTokens      int
+	refillInterval time.Duration
+	refilledAt     time.Time
+	suppressed     int64
 }
 
-// New returns a log that writes logfmt lines to w.
+// New returns a Log that writes logfmt lines to w.
 func New(w io.Writer, clock kernel.Clock) *Log {
 	logger := log.NewWithOptions(w, log.Options{
 		TimeFunction:    func(time.Time) time.Time { return clock.Now().UTC() },
@@ -51,10 +51,10 @@
 		ReportTimestamp: true,
 		Formatter:       log.LogfmtFormatter,
 	})
-	return &Log{clock: clock, logger: logger, bounds: map[string]*bound{}}
+	return &Log{clock: clock, logger: logger, buckets: map[string]*tokenBucket{}}
 }
 
-// Allow gives events a bound of their own, in lines a second; call it before the first line.
+// Allow sets the rate limit of each of the events, in lines per second. Call it before their first line.
 func (l *Log) Allow(rate int, events ...string) {
 	if l == nil {
 		return
@@ -69,13 +69,13 @@
 	}
 }
 
-// Info writes an event that needs no action; pairs are alternating keys and values.
+// Info writes an event that needs no action. The pairs are alternating keys and values.
 func (l *Log) Info(event string, pairs ...any) { l.write(log.InfoLevel, event, pairs) }
 
 // Warn writes an event that an operator should know of.
 func (l *Log) Warn(event string, pairs ...any) { l.write(log.WarnLevel, event, pairs) }
 
-// Error writes an event that needs an operator.
+// Error writes an event that requires action by an operator.
 func (l *Log) Error(event string, pairs ...any) { l.write(log.ErrorLevel, event, pairs) }
 
 func (l *Log) write(level log.Level, event string, pairs []any) {
@@ -90,7 +90,7 @@
 	line = append(line, "event", event)
 	for i, v := range pairs {
 		if i%2 == 1 {
-			v = text(v)
+			v = formatValue(v)
 		}
 		line = append(line, v)
 	}
@@ -103,34 +103,34 @@
 	l.logger.Log(level, nil, line...)
 }
 
-// admit returns the number of lines that were held back since the last one that got through.
+// admit reports whether a line may be written, and returns the number of lines suppressed since the last written one.
 func (l *Log) admit(event string) (suppressed int64, ok bool) {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.boundOf(event, now).take(now)
+	return l.bucketFor(event, now).take(now)
 }
 
-func (l *Log) boundOf(event string, now time.Time) *bound {
-	b := l.bounds[event]
-	if b == nil && len(l.bounds) >= maxEvents {
-		event = "" // shared by all further names
-		b = l.bounds[event]
+func (l *Log) bucketFor(event string, now time.Time) *tokenBucket {
+	b := l.buckets[event]
+	if b == nil && len(l.buckets) >= maxEvents {
+		event = "" // shared by all names beyond maxEvents
+		b = l.buckets[event]
 	}
 	if b == nil {
-		b = &bound{tokens: burst, burst: burst, refill: refill, filled: now}
+		b = &tokenBucket{tokens: defaultBurst, maxTokens: defaultBurst, refillInterval: defaultRefillInterval, refilledAt: now}
 		if rate := l.rates[event]; rate > 0 {
-			b.tokens, b.burst, b.refill = rate, rate, time.Second/time.Duration(rate)
+			b.tokens, b.maxTokens, b.refillInterval = rate, rate, time.Second/time.Duration(rate)
 		}
-		l.bounds[event] = b
+		l.buckets[event] = b
 	}
 	return b
 }
 
-func (b *bound) take(now time.Time) (suppressed int64, ok bool) {
-	if n := int64(now.Sub(b.filled) / b.refill); n > 0 {
-		b.tokens = int(min(int64(b.tokens)+n, int64(b.burst)))
-		b.filled = b.filled.Add(time.Duration(n) * b.refill)
+func (b *tokenBucket) take(now time.Time) (suppressed int64, ok bool) {
+	if n := int64(now.Sub(b.refilledAt) / b.refillInterval); n > 0 {
+		b.tokens = int(min(int64(b.tokens)+n, int64(b.maxTokens)))
+		b.refilledAt = b.refilledAt.Add(time.Duration(n) * b.refillInterval)
 	}
 	if b.tokens == 0 {
 		b.suppressed++
@@ -141,8 +141,8 @@
 	return suppressed, true
 }
 
-// text gives values a readable form that the logfmt encoder would refuse or write in full precision.
-func text(v any) any {
+// formatValue formats values that the logfmt encoder would reject or write with full precision.
+func formatValue(v any) any {
 	switch v := v.(type) {
 	case time.Time:
 		return v.UTC().Format(timeFormat)
--- a/event/log_test.go
+++ b/event/log_test.go
@@ -29,12 +29,12 @@
 
 var start = time.Date(2026, 3, 1, 23, 59, 58, 123456789, time.FixedZone("BRT", -3*3600))
 
-// localClock tells the time of a zone other than UTC.
+// localClock returns times in a zone other than UTC.
 type localClock struct{ kernel.Clock }
 
 func (c localClock) Now() time.Time { return c.Clock.Now().In(start.Location()) }
 
-// Guards against events over several lines, local times, values that vanish and a missing value that shifts pairs.
+// Guards against events that span several lines, local times, lost values and a missing value that shifts later pairs.
 func TestLogLines(t *testing.T) {
 	var out bytes.Buffer
 	l := event.New(&out, localClock{clockAt(start)})
@@ -47,20 +47,20 @@
 `, out.String())
 }
 
-// Guards against a component without a log that crashes.
+// Guards against a crash in a component that has no log.
 func TestNilLogWritesNothing(t *testing.T) {
 	var l *event.Log
 	l.Info("a", "b", 1)
 	(&event.Log{}).Warn("a")
 }
 
-// Guards against a repeated event that fills the log, and against held back lines that nobody learns of.
-func TestLogBoundsRepeats(t *testing.T) {
+// Guards against a repeated event that floods the log, and against suppressed lines that are not counted.
+func TestLogLimitsRepeatedEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var out bytes.Buffer
 		clock := clockAt(start)
 		l := event.New(&out, clock)
-		// The model is a bucket of 10 tokens for each name that gains one a second.
+		// The model is a token bucket for each name, with 10 tokens and a refill of one per second.
 		tokens, filled := map[string]int{"a": 10, "b": 10}, map[string]time.Time{}
 		held, want := map[string]int{}, ""
 		for range rapid.IntRange(1, 10).Draw(t, "n") {
@@ -96,8 +96,8 @@
 	})
 }
 
-// Guards against a table of names that grows without bound and against names beyond the bound that are not limited.
-func TestLogBoundsNames(t *testing.T) {
+// Guards against a table of event names that grows without bound, and against names beyond the bound that are not limited.
+func TestLogBoundsEventNames(t *testing.T) {
 	var out bytes.Buffer
 	l := event.New(&out, clockAt(start))
 	for i := range 2000 {
@@ -106,7 +106,7 @@
 	require.Equal(t, 512+10, strings.Count(out.String(), "\n"))
 }
 
-// Guards against lines of concurrent writers that mix.
+// Guards against interleaved lines of concurrent writers.
 func TestLogIsConcurrent(t *testing.T) {
 	var out bytes.Buffer
 	l := event.New(&out, kernel.SystemClock{})
@@ -123,8 +123,8 @@
 	require.Equal(t, 40, strings.Count(out.String(), " key=value\n"))
 }
 
-// Guards against lines about single requests that are held back as much as other events, so that a request can't be traced.
-func TestAllowGivesAnEventItsOwnBound(t *testing.T) {
+// Guards against lines about single requests that get the default rate limit, so that requests can't be traced.
+func TestAllowSetsTheRateOfAnEvent(t *testing.T) {
 	var out bytes.Buffer
 	clock := &kernel.ManualClock{}
 	l := event.New(&out, clock)
--- a/event/metrics.go
+++ b/event/metrics.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// maxNumbers bounds the counters and gauges of one node, one for each name with its labels.
-	maxNumbers = 4096
-	// maxDurations bounds the histograms of one node, each of which holds about 80 KB.
-	maxDurations = 128
-	// keyBytes is the length of a name with its labels that is looked up without an allocation.
-	keyBytes = 160
+	// maxIntMetrics bounds the counters, and the gauges, of one node. Each name with its labels counts as one.
+	maxIntMetrics = 4096
+	// maxHistograms bounds the histograms of one node, each of which uses about 80 KB.
+	maxHistograms = 128
+	// keyBufferSize is the longest key, in bytes, that is looked up without an allocation.
+	keyBufferSize = 160
 )
 
-// Metrics are the counters of one node, outside expvar's global table so that a process can hold several nodes. A
-// metric is known by its name and labels joined by slashes, as in refusals/shed/orders. Counters, gauges and durations
-// have separate names. The number of metrics is bounded; new ones beyond the bound are only counted, in the counter
-// metrics-dropped. A nil Metrics keeps nothing, and the zero value is ready to use.
+// Metrics holds the counters, gauges and duration histograms of one node. It doesn't use expvar's global table, so that a
+// process can run several nodes. The key of a metric is its name and labels joined by slashes, as in refusals/shed/orders.
+// Counters, gauges and durations have separate namespaces. The number of metrics is bounded; values of metrics beyond the
+// bound are dropped and counted in the counter metrics-dropped. A nil Metrics drops all values, and the zero value is ready
+// to use.
 type Metrics struct {
 	clock     kernel.Clock
 	counters  table[*expvar.Int]
@@ -35,7 +36,7 @@
 // NewMetrics returns empty metrics.
 func NewMetrics() *Metrics { return NewMetricsAt(kernel.SystemClock{}) }
 
-// NewMetricsAt returns empty metrics whose sliding windows follow the clock.
+// NewMetricsAt returns empty metrics whose sliding windows use the given clock.
 func NewMetricsAt(clock kernel.Clock) *Metrics { return &Metrics{clock: clock} }
 
 // Add adds n to the counter with this name and labels, as in Add("refusals", 1, "shed", "orders").
@@ -43,32 +44,32 @@
 	if m == nil {
 		return
 	}
-	if v := m.number(&m.counters, name, labels); v != nil {
+	if v := m.intVar(&m.counters, name, labels); v != nil {
 		v.Add(n)
 	}
 }
 
-// Set sets a gauge.
+// Set sets the gauge with this name and labels.
 func (m *Metrics) Set(name string, v int64, labels ...string) {
 	if m == nil {
 		return
 	}
-	if g := m.number(&m.gauges, name, labels); g != nil {
+	if g := m.intVar(&m.gauges, name, labels); g != nil {
 		g.Set(v)
 	}
 }
 
-// Observe records a duration in the histogram with this name.
+// Observe records a duration in the histogram with this name and labels.
 func (m *Metrics) Observe(name string, d time.Duration, labels ...string) {
 	if m == nil {
 		return
 	}
-	var buf [keyBytes]byte
+	var buf [keyBufferSize]byte
 	key := appendKey(buf[:0], name, labels)
 	now := m.now()
 	h, ok := m.durations.lookup(key)
 	if !ok {
-		h, ok = m.durations.create(string(key), maxDurations, func() *histogram { return newHistogram(now) })
+		h, ok = m.durations.create(string(key), maxHistograms, func() *histogram { return newHistogram(now) })
 	}
 	if !ok {
 		m.dropped.Add(1)
@@ -77,20 +78,20 @@
 	h.record(now, d)
 }
 
-// Counter returns the value of a counter, 0 when nothing was added.
+// Counter returns the value of a counter, or 0 if it does not exist.
 func (m *Metrics) Counter(name string, labels ...string) int64 {
 	if m == nil {
 		return 0
 	}
-	return value(&m.counters, name, labels)
+	return intValue(&m.counters, name, labels)
 }
 
-// Gauge returns the value of a gauge, 0 when it was not set.
+// Gauge returns the value of a gauge, or 0 if it does not exist.
 func (m *Metrics) Gauge(name string, labels ...string) int64 {
 	if m == nil {
 		return 0
 	}
-	return value(&m.gauges, name, labels)
+	return intValue(&m.gauges, name, labels)
 }
 
 // Var returns the metrics as an expvar variable whose String is JSON with the objects counters, gauges and durations.
@@ -99,19 +100,19 @@
 	if m == nil {
 		return all
 	}
-	counters := &live{func() *expvar.Map {
-		v := fill(&m.counters, func(i *expvar.Int) expvar.Var { return i })
+	counters := &lazyMap{func() *expvar.Map {
+		v := expvarMap(&m.counters, func(i *expvar.Int) expvar.Var { return i })
 		if m.dropped.Value() > 0 {
 			v.Set("metrics-dropped", &m.dropped)
 		}
 		return v
 	}}
-	gauges := &live{func() *expvar.Map {
-		return fill(&m.gauges, func(i *expvar.Int) expvar.Var { return i })
+	gauges := &lazyMap{func() *expvar.Map {
+		return expvarMap(&m.gauges, func(i *expvar.Int) expvar.Var { return i })
 	}}
-	durations := &live{func() *expvar.Map {
+	durations := &lazyMap{func() *expvar.Map {
 		now := m.now()
-		return fill(&m.durations, func(h *histogram) expvar.Var { return h.summary(now) })
+		return expvarMap(&m.durations, func(h *histogram) expvar.Var { return h.summary(now) })
 	}}
 	all.Set("counters", counters)
 	all.Set("gauges", gauges)
@@ -126,20 +127,20 @@
 	return m.clock.Now()
 }
 
-func (m *Metrics) number(t *table[*expvar.Int], name string, labels []string) *expvar.Int {
-	var buf [keyBytes]byte
+func (m *Metrics) intVar(t *table[*expvar.Int], name string, labels []string) *expvar.Int {
+	var buf [keyBufferSize]byte
 	key := appendKey(buf[:0], name, labels)
 	if v, ok := t.lookup(key); ok {
 		return v
 	}
-	v, ok := t.create(string(key), maxNumbers, func() *expvar.Int { return new(expvar.Int) })
+	v, ok := t.create(string(key), maxIntMetrics, func() *expvar.Int { return new(expvar.Int) })
 	if !ok {
 		m.dropped.Add(1)
 	}
 	return v
 }
 
-func value(t *table[*expvar.Int], name string, labels []string) int64 {
+func intValue(t *table[*expvar.Int], name string, labels []string) int64 {
 	if v, ok := t.lookup(appendKey(nil, name, labels)); ok {
 		return v.Value()
 	}
@@ -155,13 +156,13 @@
 	return key
 }
 
-// live builds its map each time it is read.
-type live struct{ read func() *expvar.Map }
+// lazyMap is an expvar variable that builds its map on each read.
+type lazyMap struct{ read func() *expvar.Map }
 
 // String returns the map as JSON.
-func (l *live) String() string { return l.read().String() }
+func (l *lazyMap) String() string { return l.read().String() }
 
-func fill[T any](t *table[T], v func(T) expvar.Var) *expvar.Map {
+func expvarMap[T any](t *table[T], v func(T) expvar.Var) *expvar.Map {
 	m := new(expvar.Map)
 	for key, value := range t.all() {
 		m.Set(key, v(value))
@@ -169,7 +170,7 @@
 	return m
 }
 
-// table is a map that is copied when it grows, so that readers on the data path take no lock.
+// table is a copy-on-write map, so that reads on the data path take no lock.
 type table[T any] struct {
 	mu      sync.Mutex
 	entries atomic.Pointer[map[string]T]
@@ -194,9 +195,9 @@
 	if v, ok := old[key]; ok {
 		return v, true
 	}
-	var none T
+	var zero T
 	if len(old) >= limit {
-		return none, false
+		return zero, false
 	}
 	next := maps.Clone(old)
 	if next == nil {
--- a/event/metrics_test.go
+++ b/event/metrics_test.go
@@ -14,7 +14,7 @@
 	"lovagelane/kernel"
 )
 
-// Guards against metrics that are not JSON, that mix kinds or labels, or that are fixed when Var is called.
+// Guards against metrics that are not valid JSON, that mix kinds or labels, or that Var copies instead of reading them later.
 func TestMetricsAsJSON(t *testing.T) {
 	clock := clockAt(start)
 	m := event.NewMetricsAt(clock)
@@ -51,7 +51,7 @@
 	require.EqualValues(t, 0, got.Durations["long"]["count"])
 }
 
-// Guards against a component without metrics that crashes.
+// Guards against a crash in a component that has no metrics.
 func TestNilAndZeroMetrics(t *testing.T) {
 	var none *event.Metrics
 	none.Add("a", 1)
@@ -65,7 +65,7 @@
 	require.EqualValues(t, 1, zero.Counter("a"))
 }
 
-// Guards against labels from requests that use up the memory of a node.
+// Guards against labels taken from requests that exhaust the memory of a node.
 func TestMetricsAreBounded(t *testing.T) {
 	m := event.NewMetrics()
 	for i := range 5000 {
@@ -84,7 +84,7 @@
 	require.Len(t, got.Durations, 128)
 }
 
-// Guards against garbage on the data path: each of up to 10,000 calls a second records several metrics.
+// Guards against allocations on the data path, where each of up to 10,000 calls per second records several metrics.
 func TestMetricsDoNotAllocate(t *testing.T) {
 	m := event.NewMetrics()
 	labels := []string{"nursery", "orders"}
@@ -95,7 +95,7 @@
 	}))
 }
 
-// Guards against updates that get lost while new metrics are created.
+// Guards against updates that are lost while new metrics are created concurrently.
 func TestMetricsAreConcurrent(t *testing.T) {
 	m := event.NewMetrics()
 	g := kernel.NewGroup(context.Background())
@@ -115,7 +115,7 @@
 	require.Contains(t, m.Var().String(), `"total": 8000`)
 }
 
-// Guards against counts in the wrong second or lane and against counts that outlive the window.
+// Guards against counts in the wrong second or series, and against counts that are older than the window.
 func TestWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(1, 20).Draw(t, "length")
@@ -124,10 +124,10 @@
 		model := map[int64][2]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
-			lane := rapid.IntRange(0, 1).Draw(t, "lane")
-			w.Add(now, lane, 1)
+			series := rapid.IntRange(0, 1).Draw(t, "lane")
+			w.Add(now, series, 1)
 			counts := model[now.Unix()]
-			counts[lane]++
+			counts[series]++
 			model[now.Unix()] = counts
 		}
 		now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "idle")) * time.Second)
--- a/event/size_test.go
+++ b/event/size_test.go
@@ -9,7 +9,7 @@
 	"lovagelane/event"
 )
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -17,16 +17,16 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkHistogramMemory measures the heap of a histogram of durations.
+// BenchmarkHistogramMemory measures the heap size of a duration histogram.
 func BenchmarkHistogramMemory(b *testing.B) {
-	const measured = 100
+	const histograms = 100
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		m := event.NewMetrics()
-		for i := range measured {
+		for i := range histograms {
 			m.Observe("calls", time.Millisecond, fmt.Sprint(i))
 		}
-		b.ReportMetric(float64(heap()-before)/measured, "B/histogram")
+		b.ReportMetric(float64(heapBytes()-before)/histograms, "B/histogram")
 		runtime.KeepAlive(m)
 	}
 }
--- a/event/window.go
+++ b/event/window.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Window counts by second over a sliding window, in several lanes.
+// Window holds several series of counts per second over a sliding window.
 type Window struct {
-	mu    sync.Mutex
-	lanes int
-	slots []slot
+	mu          sync.Mutex
+	seriesCount int
+	slots       []slot
 }
 
 type slot struct {
@@ -18,19 +18,19 @@
 	counts []int64
 }
 
-// NewWindow returns a window of the given length in whole seconds, with the given number of lanes.
-func NewWindow(length time.Duration, lanes int) *Window {
+// NewWindow returns a window of the given length in whole seconds, with the given number of series.
+func NewWindow(length time.Duration, seriesCount int) *Window {
 	slots := make([]slot, max(1, int(length/time.Second)))
-	counts := make([]int64, lanes*len(slots))
+	counts := make([]int64, seriesCount*len(slots))
 	for i := range slots {
 		slots[i].second = math.MinInt64
-		slots[i].counts = counts[i*lanes : (i+1)*lanes]
+		slots[i].counts = counts[i*seriesCount : (i+1)*seriesCount]
 	}
-	return &Window{lanes: lanes, slots: slots}
+	return &Window{seriesCount: seriesCount, slots: slots}
 }
 
-// Add adds n to a lane in the second of now. A time that is older than the window is ignored.
-func (w *Window) Add(now time.Time, lane int, n int64) {
+// Add adds n to a series in the second of now. Times older than the window are ignored.
+func (w *Window) Add(now time.Time, series int, n int64) {
 	second := now.Unix()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,10 +42,10 @@
 		s.second = second
 		clear(s.counts)
 	}
-	s.counts[lane] += n
+	s.counts[series] += n
 }
 
-// Each calls f for each second of the window that ends with now and has counts, the oldest first. f must not keep
+// Each calls f for each second with counts in the window that ends at now, from the oldest to the latest. f must not retain
 // counts or use the window.
 func (w *Window) Each(now time.Time, f func(second int64, counts []int64)) {
 	end := now.Unix()
@@ -58,19 +58,19 @@
 	}
 }
 
-// Sum returns the count of a lane over the last d, which includes the current second.
-func (w *Window) Sum(now time.Time, d time.Duration, lane int) int64 {
+// Sum returns the sum of a series over the last d, including the current second.
+func (w *Window) Sum(now time.Time, d time.Duration, series int) int64 {
 	first := now.Unix() - int64(d/time.Second) + 1
 	var sum int64
 	w.Each(now, func(second int64, counts []int64) {
 		if second >= first {
-			sum += counts[lane]
+			sum += counts[series]
 		}
 	})
 	return sum
 }
 
-// index is not negative for seconds before 1970, which a manual clock starts at.
+// index returns the slot of a second. The result is not negative for seconds before 1970, at which a manual clock starts.
 func index(second int64, n int) int {
 	return int(((second % int64(n)) + int64(n)) % int64(n))
 }
