--- a/tablestore/client.go
+++ b/tablestore/client.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// DefaultTimeout is the longest wait for one answer of the store.
+	// DefaultTimeout bounds one request to the store.
 	DefaultTimeout = 3 * time.Second
 
-	maxAnswerBytes  = 1 << 20
-	maxListingBytes = 16 << 20
-	maxConnections  = 8
-	idleConnection  = 10 * time.Second
-	dialTimeout     = time.Second
-	quotedBytes     = 200
+	maxResponseBytes      = 1 << 20
+	maxRowListBytes       = 16 << 20
+	maxConnectionsPerHost = 8
+	idleConnectionTimeout = 10 * time.Second
+	dialTimeout           = time.Second
+	maxQuotedBytes        = 200
 )
 
 var errDial = errors.New("cannot connect to the store")
 
-// Client reaches the platform over HTTP with JSON; it is safe for concurrent use.
+// Client implements Store over HTTP with JSON. It is safe for concurrent use.
 type Client struct {
-	base    string
-	timeout time.Duration
-	answers *fasthttp.Client
-	listing *fasthttp.Client
+	base        string
+	timeout     time.Duration
+	defaultHTTP *fasthttp.Client
+	rowListHTTP *fasthttp.Client
 
 	mu     sync.Mutex
 	closed bool
@@ -43,34 +43,34 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client of the platform at a base URL; a timeout of 0 stands for DefaultTimeout.
+// NewClient returns a client of the platform at a base URL. A timeout of 0 means DefaultTimeout.
 func NewClient(base string, timeout time.Duration) (*Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		return nil, fmt.Errorf("store %q is no base URL: write it as http://10.0.0.1:8000", base)
+		return nil, fmt.Errorf("store %q is not a base URL: write it as http://10.0.0.1:8000", base)
 	}
 	c := &Client{
 		base:    strings.TrimSuffix(base, "/"),
 		timeout: cmp.Or(timeout, DefaultTimeout),
 		open:    map[net.Conn]struct{}{},
 	}
-	c.answers, c.listing = c.newHTTP(maxAnswerBytes), c.newHTTP(maxListingBytes)
+	c.defaultHTTP, c.rowListHTTP = c.newHTTP(maxResponseBytes), c.newHTTP(maxRowListBytes)
 	return c, nil
 }
 
-func (c *Client) newHTTP(bound int) *fasthttp.Client {
+func (c *Client) newHTTP(maxBody int) *fasthttp.Client {
 	return &fasthttp.Client{
 		Name:                "lovagelane",
 		Dial:                c.dial,
-		MaxConnsPerHost:     maxConnections,
-		MaxIdleConnDuration: idleConnection,
-		MaxResponseBodySize: bound,
-		// A repeated write could conflict with its own first attempt, so the caller decides about repeats.
+		MaxConnsPerHost:     maxConnectionsPerHost,
+		MaxIdleConnDuration: idleConnectionTimeout,
+		MaxResponseBodySize: maxBody,
+		// A retried write could conflict with its own first attempt, so retries are left to the caller.
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 }
 
-// Close cuts all connections, so that requests in flight end at once.
+// Close closes all connections, so that requests in flight fail at once, and prevents new ones.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -80,17 +80,17 @@
 	for conn := range open {
 		_ = conn.Close()
 	}
-	c.answers.CloseIdleConnections()
-	c.listing.CloseIdleConnections()
+	c.defaultHTTP.CloseIdleConnections()
+	c.rowListHTTP.CloseIdleConnections()
 }
 
-// trackedConn leaves the client's set of open connections when it is closed.
+// trackedConn removes itself from the client's set of open connections when it is closed.
 type trackedConn struct {
 	net.Conn
 	client *Client
 }
 
-// Close closes the connection.
+// Close closes the connection and stops tracking it.
 func (t *trackedConn) Close() error {
 	t.client.mu.Lock()
 	delete(t.client.open, t)
@@ -121,7 +121,7 @@
 	http   *fasthttp.Client
 }
 
-// do returns the status and the body, or the error of the exchange.
+// do sends a request and returns the status and the body of the response.
 func (c *Client) do(ctx context.Context, r request) (int, []byte, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", errDial, err)
@@ -144,12 +144,12 @@
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
 }
 
-// read carries out a GET; it reports false for 404.
+// read sends a GET request and returns the body, or false for status 404.
 func (c *Client) read(ctx context.Context, path string, h *fasthttp.Client) ([]byte, bool, error) {
 	status, body, err := c.do(ctx, request{method: fasthttp.MethodGet, path: path, http: h})
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return nil, false, &ProtocolError{Request: "GET " + path, What: "the answer is too large"}
+		return nil, false, &ProtocolError{Request: "GET " + path, Detail: "the response is too large"}
 	case err != nil:
 		return nil, false, &UnavailableError{Cause: err}
 	case status == fasthttp.StatusNotFound:
@@ -164,12 +164,12 @@
 	if status >= fasthttp.StatusInternalServerError || status == fasthttp.StatusTooManyRequests {
 		return &UnavailableError{Cause: fmt.Errorf("%s: status %d", request, status)}
 	}
-	return &ProtocolError{Request: request, What: fmt.Sprintf("status %d, %.*q", status, quotedBytes, body)}
+	return &ProtocolError{Request: request, Detail: fmt.Sprintf("status %d, %.*q", status, maxQuotedBytes, body)}
 }
 
 func decode(request string, body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
-		return &ProtocolError{Request: request, What: err.Error()}
+		return &ProtocolError{Request: request, Detail: err.Error()}
 	}
 	return nil
 }
@@ -179,7 +179,7 @@
 // Row returns a row and whether it exists.
 func (c *Client) Row(ctx context.Context, table, key string) (Row, bool, error) {
 	path := rowsPath(table) + "/" + url.PathEscape(key)
-	body, ok, err := c.read(ctx, path, c.answers)
+	body, ok, err := c.read(ctx, path, c.defaultHTTP)
 	if err != nil || !ok {
 		return Row{}, false, err
 	}
@@ -193,16 +193,16 @@
 // Rows returns the revision of the table and the rows that changed after since, deleted ones included.
 func (c *Client) Rows(ctx context.Context, table string, since uint64) (uint64, []Row, error) {
 	path := fmt.Sprintf("%s?since=%d", rowsPath(table), since)
-	body, ok, err := c.read(ctx, path, c.listing)
+	body, ok, err := c.read(ctx, path, c.rowListHTTP)
 	if err != nil || !ok {
 		return 0, nil, err
 	}
-	var answer struct {
+	var response struct {
 		Revision uint64 `json:"revision"`
 		Rows     []Row  `json:"rows"`
 	}
-	err = decode("GET "+path, body, &answer)
-	return answer.Revision, answer.Rows, err
+	err = decode("GET "+path, body, &response)
+	return response.Revision, response.Rows, err
 }
 
 type wireWrite struct {
@@ -212,8 +212,9 @@
 	Delete    bool    `json:"delete,omitempty"`
 }
 
-// Transact carries out all writes or none. It fails with *ConflictError when a condition does not hold, with
-// *UnavailableError when nothing was written and with *UnknownError when the answer was lost.
+// Transact applies all writes or none. It returns *ConflictError if the version condition of a write does not hold,
+// *UnavailableError if the store is unavailable and nothing was written, and *UnknownError if the writes may have been
+// applied.
 func (c *Client) Transact(ctx context.Context, table string, writes []Write) (Commit, error) {
 	path := "/tables/" + url.PathEscape(table) + "/transactions"
 	body, err := json.Marshal(struct {
@@ -222,7 +223,7 @@
 	if err != nil {
 		return Commit{}, err
 	}
-	status, answer, err := c.do(ctx, request{method: fasthttp.MethodPost, path: path, body: body, http: c.answers})
+	status, response, err := c.do(ctx, request{method: fasthttp.MethodPost, path: path, body: body, http: c.defaultHTTP})
 	switch {
 	case errors.Is(err, errDial), errors.Is(err, fasthttp.ErrNoFreeConns):
 		return Commit{}, &UnavailableError{Cause: err}
@@ -230,18 +231,18 @@
 		return Commit{}, &UnknownError{Cause: err}
 	case status == fasthttp.StatusPreconditionFailed:
 		conflict := &ConflictError{Table: table}
-		if err := decode("POST "+path, answer, conflict); err != nil {
+		if err := decode("POST "+path, response, conflict); err != nil {
 			return Commit{}, err
 		}
 		return Commit{}, conflict
 	case status == fasthttp.StatusServiceUnavailable, status < fasthttp.StatusInternalServerError && status != fasthttp.StatusOK:
-		return Commit{}, statusError("POST "+path, status, answer)
+		return Commit{}, statusError("POST "+path, status, response)
 	case status != fasthttp.StatusOK:
 		return Commit{}, &UnknownError{Cause: fmt.Errorf("status %d", status)}
 	}
 	var commit Commit
-	if err := decode("POST "+path, answer, &commit); err != nil {
-		// The write took effect although its answer cannot be read.
+	if err := decode("POST "+path, response, &commit); err != nil {
+		// The transaction was committed although its response is malformed.
 		return Commit{}, &UnknownError{Cause: err}
 	}
 	return commit, nil
@@ -258,10 +259,10 @@
 	return wire
 }
 
-// PutObject stores an object; storing the same content again has no effect.
+// PutObject stores an object. Storing the same content again has no effect.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	path := "/objects/" + url.PathEscape(name)
-	status, body, err := c.do(ctx, request{method: fasthttp.MethodPut, path: path, body: data, http: c.answers})
+	status, body, err := c.do(ctx, request{method: fasthttp.MethodPut, path: path, body: data, http: c.defaultHTTP})
 	if err != nil {
 		return &UnavailableError{Cause: err}
 	}
@@ -273,5 +274,5 @@
 
 // Object returns an object and whether it exists.
 func (c *Client) Object(ctx context.Context, name string) ([]byte, bool, error) {
-	return c.read(ctx, "/objects/"+url.PathEscape(name), c.answers)
+	return c.read(ctx, "/objects/"+url.PathEscape(name), c.defaultHTTP)
 }
--- a/tablestore/client_test.go
+++ b/tablestore/client_test.go
@@ -14,8 +14,8 @@
 	"lovagelane/tablestore"
 )
 
-// serve answers every request with handler on loopback and returns the base URL.
-func serve(t *testing.T, handler fasthttp.RequestHandler) string {
+// startServer serves every request with handler on loopback and returns the base URL.
+func startServer(t *testing.T, handler fasthttp.RequestHandler) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -30,14 +30,14 @@
 	return "http://" + ln.Addr().String()
 }
 
-func answer(status int, body string) fasthttp.RequestHandler {
+func respondWith(status int, body string) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.SetStatusCode(status)
 		ctx.SetBodyString(body)
 	}
 }
 
-func cut(ctx *fasthttp.RequestCtx) {
+func closeConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) { _ = c.Close() })
 }
@@ -50,7 +50,7 @@
 	return c
 }
 
-func kindOf(err error) string {
+func errorKind(err error) string {
 	var conflict *tablestore.ConflictError
 	var unavailable *tablestore.UnavailableError
 	var unknown *tablestore.UnknownError
@@ -70,49 +70,50 @@
 	return err.Error()
 }
 
-// Guards against a fault of the store that is taken for another one, above all a lost answer for a write that did not run.
-func TestFaults(t *testing.T) {
+// Guards against a failure of the store that is reported as another kind of error, above all a write whose response was lost
+// and that is reported as not applied.
+func TestErrorKinds(t *testing.T) {
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, refused.Close())
 	cases := []struct {
 		name    string
 		handler fasthttp.RequestHandler
-		// read, write and put are the kinds of error that the three sorts of request give.
+		// read, write and put are the expected kinds of error for Row, Transact and PutObject.
 		read, write, put string
 	}{
 		{"refused", nil, "unavailable", "unavailable", "unavailable"},
-		{"503", answer(503, ""), "unavailable", "unavailable", "unavailable"},
-		{"500", answer(500, ""), "unavailable", "unknown", "unavailable"},
+		{"503", respondWith(503, ""), "unavailable", "unavailable", "unavailable"},
+		{"500", respondWith(500, ""), "unavailable", "unknown", "unavailable"},
 		{"no answer", func(*fasthttp.RequestCtx) { time.Sleep(time.Second) }, "unavailable", "unknown", "unavailable"},
-		{"connection cut", cut, "unavailable", "unknown", "unavailable"},
-		{"400", answer(400, "bad"), "protocol", "protocol", "protocol"},
-		{"another server", answer(200, "<html>"), "protocol", "unknown", "done"},
-		{"conflict", answer(412, `{"key":"current","version":7}`), "protocol", "conflict", "protocol"},
-		{"not found", answer(404, ""), "done", "protocol", "protocol"},
-		{"too large", answer(200, string(make([]byte, 2<<20))), "protocol", "unknown", "unavailable"},
+		{"connection cut", closeConnection, "unavailable", "unknown", "unavailable"},
+		{"400", respondWith(400, "bad"), "protocol", "protocol", "protocol"},
+		{"another server", respondWith(200, "<html>"), "protocol", "unknown", "done"},
+		{"conflict", respondWith(412, `{"key":"current","version":7}`), "protocol", "conflict", "protocol"},
+		{"not found", respondWith(404, ""), "done", "protocol", "protocol"},
+		{"too large", respondWith(200, string(make([]byte, 2<<20))), "protocol", "unknown", "unavailable"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			base := "http://" + refused.Addr().String()
 			if c.handler != nil {
-				base = serve(t, c.handler)
+				base = startServer(t, c.handler)
 			}
 			store := newClient(t, base, 100*time.Millisecond)
 			_, _, err := store.Row(t.Context(), "config", "current")
-			require.Equal(t, c.read, kindOf(err), "read: %v", err)
+			require.Equal(t, c.read, errorKind(err), "read: %v", err)
 			_, err = store.Transact(t.Context(), "config", []tablestore.Write{{Key: "current", Value: "x"}})
-			require.Equal(t, c.write, kindOf(err), "write: %v", err)
-			require.Equal(t, c.put, kindOf(store.PutObject(t.Context(), "abc", []byte("x"))))
+			require.Equal(t, c.write, errorKind(err), "write: %v", err)
+			require.Equal(t, c.put, errorKind(store.PutObject(t.Context(), "abc", []byte("x"))))
 		})
 	}
 }
 
-// Guards against requests that do not follow the protocol of docs/design.md, section 8.
+// Guards against requests that do not follow the protocol in docs/design.md, section 8.
 func TestRequests(t *testing.T) {
 	var got string
 	reply := ""
-	store := newClient(t, serve(t, func(ctx *fasthttp.RequestCtx) {
+	store := newClient(t, startServer(t, func(ctx *fasthttp.RequestCtx) {
 		got = string(ctx.Method()) + " " + string(ctx.RequestURI()) + " " + string(ctx.PostBody())
 		ctx.SetBodyString(reply)
 	}), 0)
@@ -150,19 +151,19 @@
 	require.Equal(t, "text", string(data))
 }
 
-// Guards against a write that is sent twice behind the caller's back and conflicts with itself.
+// Guards against a write that the HTTP client retries on its own and that then conflicts with its first attempt.
 func TestWritesAreNotRepeated(t *testing.T) {
 	n := 0
-	store := newClient(t, serve(t, func(ctx *fasthttp.RequestCtx) { n++; cut(ctx) }), 0)
+	store := newClient(t, startServer(t, func(ctx *fasthttp.RequestCtx) { n++; closeConnection(ctx) }), 0)
 	_, err := store.Transact(t.Context(), "config", nil)
-	require.Equal(t, "unknown", kindOf(err))
+	require.Equal(t, "unknown", errorKind(err))
 	require.Equal(t, 1, n)
 }
 
-// Guards against a stop that waits for an answer which never comes.
-func TestCloseEndsRequests(t *testing.T) {
+// Guards against a shutdown that waits for a response which never arrives.
+func TestCloseAbortsRequests(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
-	base := serve(t, func(*fasthttp.RequestCtx) { close(arrived); <-release })
+	base := startServer(t, func(*fasthttp.RequestCtx) { close(arrived); <-release })
 	t.Cleanup(func() { close(release) })
 	store := newClient(t, base, time.Hour)
 	g := kernel.NewGroup(t.Context())
@@ -172,10 +173,10 @@
 	})
 	<-arrived
 	store.Close()
-	require.Equal(t, "unavailable", kindOf(g.Wait()))
+	require.Equal(t, "unavailable", errorKind(g.Wait()))
 }
 
-// Guards against a base URL that is wrong and only fails later.
+// Guards against an invalid base URL that fails only at the first request.
 func TestNewClientChecksTheURL(t *testing.T) {
 	for _, base := range []string{"", "10.0.0.1:8000", "ftp://x", "http://"} {
 		_, err := tablestore.NewClient(base, 0)
--- a/tablestore/store.go
+++ b/tablestore/store.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// MembersTable holds one row for each running node, with the member id as its key.
+	// MembersTable is the table with one row for each running node, keyed by member id.
 	MembersTable = "members"
-	// ConfigTable holds the row CurrentKey and one row for each accepted version.
+	// ConfigTable is the table with the row CurrentKey and one row for each accepted configuration version.
 	ConfigTable = "config"
 	// CurrentKey is the key of the row that names the accepted configuration.
 	CurrentKey = "current"
 )
 
-// Row is a row of a table.
+// Row holds the value of a key in a table, with its version and age.
 type Row struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
-	// Version starts at 1 and grows by 1 with each write to the row.
+	// Version starts at 1 and increases by 1 with each write to the row.
 	Version uint64 `json:"version"`
-	// Revision is that of the table when the row was written.
+	// Revision is the revision of the table at which the row was written.
 	Revision  uint64 `json:"revision"`
 	AgeMillis int64  `json:"age-ms"`
 	Deleted   bool   `json:"deleted,omitempty"`
 }
 
-// Age returns the time since the row was written, on the store's own clock.
+// Age returns the time since the row was written, as measured by the store's clock.
 func (r Row) Age() time.Duration { return time.Duration(r.AgeMillis) * time.Millisecond }
 
 // Write is one write of a transaction.
@@ -37,72 +37,72 @@
 	Key    string
 	Value  string
 	Delete bool
-	// IfVersion is the version that the row must have, where 0 means that it must not exist.
+	// IfVersion, if set, is the version that the row must have. Version 0 means that the row must not exist.
 	IfVersion kernel.Option[uint64]
 }
 
-// Commit is the answer to a transaction that took effect.
+// Commit is the result of a committed transaction: the new revision of the table and the new version of each written row.
 type Commit struct {
 	Revision uint64            `json:"revision"`
 	Versions map[string]uint64 `json:"versions"`
 }
 
-// Store is the platform's table service and object store.
+// Store is the interface of the platform's table service and object store.
 type Store interface {
 	// Row returns a row and whether it exists.
 	Row(ctx context.Context, table, key string) (Row, bool, error)
 	// Rows returns the revision of the table and the rows that changed after since, deleted ones included.
 	Rows(ctx context.Context, table string, since uint64) (uint64, []Row, error)
-	// Transact carries out all writes or none.
+	// Transact applies all writes or none.
 	Transact(ctx context.Context, table string, writes []Write) (Commit, error)
-	// PutObject stores an object; storing the same content again has no effect.
+	// PutObject stores an object. Storing the same content again has no effect.
 	PutObject(ctx context.Context, name string, data []byte) error
 	// Object returns an object and whether it exists.
 	Object(ctx context.Context, name string) ([]byte, bool, error)
 }
 
-// ConflictError says that a condition of a transaction failed and nothing was written.
+// ConflictError reports that the version condition of a write did not hold and nothing was written.
 type ConflictError struct {
 	Table string
 	Key   string
-	// Version is the row's current version, or 0 when it does not exist.
+	// Version is the current version of the row, or 0 if it does not exist.
 	Version uint64
 }
 
-// Error names the row and its current version.
+// Error returns a message with the row and its current version.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("row %s/%s is at version %d now: read it again and repeat the change", e.Table, e.Key, e.Version)
+	return fmt.Sprintf("row %s/%s is now at version %d: read it again and repeat the change", e.Table, e.Key, e.Version)
 }
 
-// UnavailableError says that the store did not answer a read, or did not carry out a write.
+// UnavailableError reports that a read failed, or that a write was not applied, because the store is unavailable.
 type UnavailableError struct{ Cause error }
 
-// Error names the cause and the remedy.
+// Error returns a message with the cause and the remedy.
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("the store is unavailable (%v), nothing was changed: repeat when it answers again", e.Cause)
+	return fmt.Sprintf("the store is unavailable (%v) and nothing was changed: retry when it responds again", e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UnknownError says that the answer to a write was lost, so that the write may or may not have taken effect.
+// UnknownError reports that the outcome of a write is unknown: it may or may not have been applied.
 type UnknownError struct{ Cause error }
 
-// Error names the cause and the remedy.
+// Error returns a message with the cause and the remedy.
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("the store's answer was lost (%v), the write may have taken effect: read the row to find out", e.Cause)
+	return fmt.Sprintf("no valid response from the store (%v), the write may have been applied: read the row to check", e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// ProtocolError says that the store's answer does not follow the protocol.
+// ProtocolError reports a response that does not follow the store's protocol.
 type ProtocolError struct {
 	Request string
-	What    string
+	Detail  string
 }
 
-// Error names the request and what is wrong with its answer.
+// Error returns a message with the request, the violation and the remedy.
 func (e *ProtocolError) Error() string {
-	return fmt.Sprintf("unexpected answer to %s: %s: check that the store setting is the platform's base URL", e.Request, e.What)
+	return fmt.Sprintf("invalid response to %s: %s: check that the store setting is the platform's base URL", e.Request, e.Detail)
 }
