--- a/control/config.go
+++ b/control/config.go
@@ -13,67 +13,67 @@
 	"lovagelane/tablestore"
 )
 
-// held is a configuration whose text this node has.
-type held struct {
+// loadedConfig is a configuration that this node has fetched and parsed, with its text to pass on to peers.
+type loadedConfig struct {
 	version uint64
 	hash    string
 	body    []byte
 	config  *inventory.Config
 }
 
-func (c *Control) heldVersion() uint64 {
+func (c *Control) loadedVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.adopter.Held()
 }
 
-// peerHolds records what a peer holds and asks it for the text of a higher version.
-func (c *Control) peerHolds(p *peer, version uint64) {
+// recordPeerVersion records the configuration version that a peer has loaded and pulls the text if that version is higher.
+func (c *Control) recordPeerVersion(p *peer, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.adopter.PeerSays(p.id, version)
 	now := c.now()
-	if !c.adopter.Wanted(version) || version <= c.unreadable {
+	if !c.adopter.Wanted(version) || version <= c.unreadableVersion {
 		return
 	}
-	if version <= c.pulling && now.Before(c.pullUntil) {
+	if version <= c.pullVersion && now.Before(c.pullDeadline) {
 		return
 	}
-	c.pulling, c.pullUntil = version, now.Add(c.tuning.pullWait)
-	p.send(pull{Version: version})
+	c.pullVersion, c.pullDeadline = version, now.Add(c.tuning.pullTimeout)
+	p.send(configPull{Version: version})
 }
 
-func (c *Control) answerPull(p *peer, version uint64) {
+func (c *Control) handleConfigPull(p *peer, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.held.version >= version && c.held.version > 0 {
-		p.send(text{Version: c.held.version, Hash: c.held.hash, Body: c.held.body})
+	if c.loaded.version >= version && c.loaded.version > 0 {
+		p.send(configText{Version: c.loaded.version, Hash: c.loaded.hash, Body: c.loaded.body})
 	}
 }
 
-func (c *Control) takeText(p *peer, f text) {
+func (c *Control) handleConfigText(p *peer, f configText) {
 	if rollout.Hash(f.Body) != f.Hash {
 		c.metrics.Add("control-texts-damaged", 1)
 		c.log.Warn("config-text-damaged", "version", f.Version, "peer", p.id)
 		return
 	}
-	c.hold(f.Version, f.Hash, f.Body)
+	c.loadConfig(f.Version, f.Hash, f.Body)
 }
 
-// hold takes the text of a higher version and tells all peers. A text that this release cannot read is left alone, so that
-// the configuration in force stays.
-func (c *Control) hold(version uint64, hash string, body []byte) {
+// loadConfig parses the text of a higher version, stores it and notifies all peers. A text that this release cannot parse is
+// skipped, so that the current configuration stays in force.
+func (c *Control) loadConfig(version uint64, hash string, body []byte) {
 	c.mu.Lock()
 	wanted := c.adopter.Wanted(version)
 	c.mu.Unlock()
 	if !wanted {
 		return
 	}
-	config, err := parse(version, body)
+	config, err := parseConfig(version, body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.unreadable = max(c.unreadable, version)
+		c.unreadableVersion = max(c.unreadableVersion, version)
 		c.metrics.Add("control-texts-unreadable", 1)
 		c.log.Error("config-unreadable", "version", version, "error", err)
 		return
@@ -81,13 +81,13 @@
 	if !c.adopter.Hold(c.now(), version) {
 		return
 	}
-	c.held = held{version: version, hash: hash, body: body, config: config}
+	c.loaded = loadedConfig{version: version, hash: hash, body: body, config: config}
 	for p := range c.peers {
-		p.send(notice{Version: version, Hash: hash})
+		p.send(configNotice{Version: version, Hash: hash})
 	}
 }
 
-func parse(version uint64, body []byte) (*inventory.Config, error) {
+func parseConfig(version uint64, body []byte) (*inventory.Config, error) {
 	files, err := rollout.Decode(body)
 	if err != nil {
 		return nil, err
@@ -99,106 +99,106 @@
 	return config.WithVersion(version), nil
 }
 
-// adopt puts the held version in force when the adopter agrees; the caller holds the lock.
+// adopt puts the loaded version in force if the adopter allows it. The caller must hold c.mu.
 func (c *Control) adopt(now time.Time) {
 	if c.adopter.Held() == c.adopter.InForce() {
 		return
 	}
-	version, ok := c.adopter.Adopt(now, c.regionPeers(), c.synced)
+	version, ok := c.adopter.Adopt(now, c.regionPeerIDs(), c.synced)
 	if !ok {
 		return
 	}
-	c.inForce, c.inForceAt = c.held, now
-	c.log.Info("config-in-force", "version", version, "hash", c.held.hash)
+	c.inForce, c.inForceAt = c.loaded, now
+	c.log.Info("config-in-force", "version", version, "hash", c.loaded.hash)
 }
 
-// pollLoop looks for a new configuration in the store, at intervals and when PollStore asks for it.
+// pollLoop polls the store for a new configuration, periodically and on PollStore.
 func (c *Control) pollLoop(ctx context.Context) error {
-	return c.repeat(ctx, c.tuning.poll, c.pollNow, c.poll)
+	return c.runEvery(ctx, c.tuning.pollInterval, c.pollNow, c.poll)
 }
 
-// repeat calls f soon after the start, then at intervals and whenever now has a signal, until ctx ends.
-func (c *Control) repeat(ctx context.Context, interval time.Duration, now <-chan struct{}, f func(context.Context)) error {
-	wait := c.options.Rand.Jitter(c.tuning.seedRetry, 1)
+// runEvery calls f shortly after the start, then at each interval and on each signal of trigger, until ctx ends.
+func (c *Control) runEvery(ctx context.Context, interval time.Duration, trigger <-chan struct{}, f func(context.Context)) error {
+	wait := c.options.Rand.Jitter(c.tuning.seedRetryDelay, 1)
 	for {
 		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return nil
-		case <-now:
+		case <-trigger:
 		case <-timer.C:
 		}
 		timer.Stop()
 		f(ctx)
-		wait = c.options.Rand.Jitter(interval, jitter)
+		wait = c.options.Rand.Jitter(interval, jitterFraction)
 	}
 }
 
 func (c *Control) poll(ctx context.Context) {
 	accepted, ok, err := rollout.Current(ctx, c.store)
-	c.noteStore("poll", err)
+	c.recordStoreResult("poll", err)
 	if err != nil {
 		return
 	}
 	c.mu.Lock()
 	c.adopter.StoreSays(accepted.Version)
-	c.storeState.ConfigRead = true
-	wanted := ok && c.adopter.Wanted(accepted.Version) && accepted.Version > c.unreadable
+	c.storeStatus.ConfigRead = true
+	wanted := ok && c.adopter.Wanted(accepted.Version) && accepted.Version > c.unreadableVersion
 	c.mu.Unlock()
 	if !wanted {
 		return
 	}
 	body, ok, err := c.store.Object(ctx, accepted.Hash)
-	c.noteStore("object", err)
+	c.recordStoreResult("object", err)
 	switch {
 	case err != nil:
 	case !ok || rollout.Hash(body) != accepted.Hash:
 		c.log.Error("config-object-missing", "version", accepted.Version, "hash", accepted.Hash)
 	default:
-		c.hold(accepted.Version, accepted.Hash, body)
+		c.loadConfig(accepted.Version, accepted.Hash, body)
 	}
 }
 
-// noteStore keeps the store's state for the admin page and logs when it changes.
-func (c *Control) noteStore(request string, err error) {
+// recordStoreResult updates the store status for the admin page and logs when the store becomes available or unavailable.
+func (c *Control) recordStoreResult(request string, err error) {
 	c.mu.Lock()
-	was := c.storeState.Error
-	c.storeState.Error = ""
+	previous := c.storeStatus.Error
+	c.storeStatus.Error = ""
 	if err != nil {
-		c.storeState.Error = err.Error()
-		c.storeState.Failures++
+		c.storeStatus.Error = err.Error()
+		c.storeStatus.Failures++
 	} else {
-		c.storeState.LastAnswer = c.now()
+		c.storeStatus.LastAnswer = c.now()
 	}
 	c.mu.Unlock()
 	switch {
 	case err != nil:
 		c.metrics.Add("store-failures", 1, request)
-		if was == "" {
+		if previous == "" {
 			c.log.Warn("store-unavailable", "request", request, "error", err)
 		}
-	case was != "":
+	case previous != "":
 		c.log.Info("store-available", "request", request)
 	}
 }
 
-// announcement is the value of a row in the members table.
-type announcement struct {
+// memberRow is the value of a row in the members table.
+type memberRow struct {
 	Member membership.Member `json:"member"`
-	// LeaseMillis is the age up to which a node that does not know the member yet may count on it.
+	// LeaseMillis is the age up to which a node that does not know the member yet treats it as live.
 	LeaseMillis int64 `json:"lease-ms"`
 }
 
-// announceLoop writes the own row soon after the start, at intervals and after changes of the own state.
+// announceLoop writes this node's row shortly after the start, at intervals and after changes of its state.
 func (c *Control) announceLoop(ctx context.Context) error {
-	pause := c.tuning.seedRetry
-	return c.repeat(ctx, c.tuning.renew, c.renewNow, func(ctx context.Context) {
-		// Changes of the state that come during the pause share one write.
+	pause := c.tuning.seedRetryDelay
+	return c.runEvery(ctx, c.tuning.renewInterval, c.renewNow, func(ctx context.Context) {
+		// State changes during the pause are batched into one write.
 		if !sleep(ctx, c.options.Rand.Jitter(pause, 1)) {
 			return
 		}
-		pause = c.tuning.gather
+		pause = c.tuning.maxWriteDelay
 		select {
 		case <-c.renewNow:
 		default:
@@ -214,24 +214,24 @@
 	if self.State == membership.StateLeft {
 		return
 	}
-	value, err := json.Marshal(announcement{Member: self, LeaseMillis: c.tuning.lease.Milliseconds()})
+	value, err := json.Marshal(memberRow{Member: self, LeaseMillis: c.tuning.leaseDuration.Milliseconds()})
 	if err != nil {
 		c.log.Error("announcement-not-encoded", "error", err)
 		return
 	}
 	_, err = c.store.Transact(ctx, tablestore.MembersTable, []tablestore.Write{{Key: self.ID, Value: string(value)}})
-	c.noteStore("announce", err)
+	c.recordStoreResult("announce", err)
 }
 
-// deleteRow takes the own row out of the table on a planned stop. Its failure does no harm, because the lease lapses.
+// deleteRow deletes this node's row on a planned stop. A failure does no harm, because the lease expires.
 func (c *Control) deleteRow() {
 	if c.store == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.group.Context(), c.tuning.stopWait)
+	ctx, cancel := context.WithTimeout(c.group.Context(), c.tuning.stopTimeout)
 	defer cancel()
 	_, err := c.store.Transact(ctx, tablestore.MembersTable, []tablestore.Write{{Key: c.selfID(), Delete: true}})
-	c.noteStore("withdraw", err)
+	c.recordStoreResult("withdraw", err)
 }
 
 func (c *Control) selfID() string {
@@ -240,52 +240,52 @@
 	return c.view.Self().ID
 }
 
-// listLoop reads the members table, first as a whole and then what changed.
+// listLoop reads the members table, first all rows and then only those changed since the last revision.
 func (c *Control) listLoop(ctx context.Context) error {
 	var since uint64
-	var listed time.Time
-	wait := c.options.Rand.Jitter(c.tuning.seedRetry, 1)
+	var lastListed time.Time
+	wait := c.options.Rand.Jitter(c.tuning.seedRetryDelay, 1)
 	for sleep(ctx, wait) {
-		wait = c.options.Rand.Jitter(c.tuning.list, jitter)
-		if !c.listDue(listed) {
+		wait = c.options.Rand.Jitter(c.tuning.listInterval, jitterFraction)
+		if !c.listDue(lastListed) {
 			continue
 		}
 		revision, rows, err := c.store.Rows(ctx, tablestore.MembersTable, since)
-		c.noteStore("list", err)
+		c.recordStoreResult("list", err)
 		switch {
 		case err != nil:
 		case revision < since:
-			// A table with a lower revision was set up anew.
+			// A lower revision means that the table was recreated.
 			since = 0
 		default:
 			if since == 0 {
-				c.deleteLapsed(ctx, rows)
+				c.deleteExpired(ctx, rows)
 			}
 			since = revision
-			listed = c.now()
-			c.takeRows(rows)
+			lastListed = c.now()
+			c.mergeRows(rows)
 		}
 	}
 	return nil
 }
 
-// listDue reports whether to list now. Renewals change every row twice a minute, so each listing carries the whole table:
-// about 250 KB at the target size. The link nodes of a region list each minute and flood what is new; the others do so
-// only now and then, or while they have no peers to hear from.
-func (c *Control) listDue(listed time.Time) bool {
+// listDue reports whether to list the members table now. Lease renewals change every row twice a minute, so each listing
+// transfers the whole table: about 250 KB at the target size. The link nodes of a region list each minute and flood what is
+// new. The other nodes list at rareListInterval, or each minute while they have no peers or have not synced with one.
+func (c *Control) listDue(lastListed time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.synced || len(c.peers) == 0 || c.rings.HoldsLinks(c.view.Self()) {
 		return true
 	}
-	return c.now().Sub(listed) >= c.tuning.listRare
+	return c.now().Sub(lastListed) >= c.tuning.rareListInterval
 }
 
-// deleteLapsed removes a few rows of nodes that ended without notice long ago, which nobody else would remove.
-func (c *Control) deleteLapsed(ctx context.Context, rows []tablestore.Row) {
+// deleteExpired deletes a few rows of nodes that ended long ago without deleting their row; nothing else deletes them.
+func (c *Control) deleteExpired(ctx context.Context, rows []tablestore.Row) {
 	var writes []tablestore.Write
 	for _, row := range rows {
-		if !row.Deleted && row.Age() > lapsedLeases*c.tuning.lease && len(writes) < lapsedRows {
+		if !row.Deleted && row.Age() > expiredRowLeases*c.tuning.leaseDuration && len(writes) < maxExpiredRowDeletes {
 			writes = append(writes, tablestore.Write{Key: row.Key, Delete: true, IfVersion: kernel.Some(row.Version)})
 		}
 	}
@@ -295,19 +295,19 @@
 	_, err := c.store.Transact(ctx, tablestore.MembersTable, writes)
 	var conflict *tablestore.ConflictError
 	if !errors.As(err, &conflict) {
-		c.noteStore("delete-lapsed", err)
+		c.recordStoreResult("delete-lapsed", err)
 	}
 }
 
-func (c *Control) takeRows(rows []tablestore.Row) {
+func (c *Control) mergeRows(rows []tablestore.Row) {
 	c.mu.Lock()
 	for _, row := range rows {
-		var a announcement
-		if row.Deleted || json.Unmarshal([]byte(row.Value), &a) != nil || a.Member.ID != row.Key {
+		var decoded memberRow
+		if row.Deleted || json.Unmarshal([]byte(row.Value), &decoded) != nil || decoded.Member.ID != row.Key {
 			continue
 		}
-		if row.Age() <= time.Duration(a.LeaseMillis)*time.Millisecond {
-			c.merge(nil, a.Member, c.synced)
+		if row.Age() <= time.Duration(decoded.LeaseMillis)*time.Millisecond {
+			c.merge(nil, decoded.Member, c.synced)
 		}
 	}
 	c.mu.Unlock()
--- a/control/control.go
+++ b/control/control.go
@@ -26,7 +26,7 @@
 	"lovagelane/tablestore"
 )
 
-// Options are what a Control needs from its node.
+// Options configures a Control.
 type Options struct {
 	Self    membership.Member
 	Listen  string
@@ -37,69 +37,71 @@
 	Rand    *kernel.Rand
 	Log     *event.Log
 	Metrics *event.Metrics
-	// OnMembers is called after the view changed, with all members but the own one.
+	// OnMembers is called after the membership view changed, with all members except this node.
 	OnMembers func([]membership.Member)
-	// OnConfig is called when a configuration takes force; versions only grow.
+	// OnConfig is called when a configuration takes effect; versions only increase.
 	OnConfig func(*inventory.Config)
-	// OnCrash is called for each new crash report of another node, by several goroutines at once.
+	// OnCrash is called for each new crash report from another node, possibly from several goroutines at once.
 	OnCrash func(quarantine.Report)
 }
 
-// Control is the running control part of a node.
+// Control runs the control plane of a node: its peer connections, its membership view and its store synchronization.
 type Control struct {
-	options   Options
-	tuning    tuning
-	log       *event.Log
-	metrics   *event.Metrics
-	store     tablestore.Store
-	closer    func()
-	group     *kernel.Group
-	udp       net.PacketConn
-	transport *quic.Transport
-	listener  *quic.Listener
-	pacer     *pacer
-	inbound   atomic.Int64
-	pollNow   chan struct{}
-	changed   chan struct{}
-	renewNow  chan struct{}
+	options      Options
+	tuning       tuning
+	log          *event.Log
+	metrics      *event.Metrics
+	store        tablestore.Store
+	closeStore   func()
+	group        *kernel.Group
+	udp          net.PacketConn
+	transport    *quic.Transport
+	listener     *quic.Listener
+	pacer        *pacer
+	inboundConns atomic.Int64
+	pollNow      chan struct{}
+	changed      chan struct{}
+	renewNow     chan struct{}
 
-	// mu guards what follows. No I/O and no callback happens while it is held.
-	mu     sync.Mutex
-	view   *membership.View
-	rings  membership.Rings
-	roster uint64
-	// placedBy is the version of the configuration that the rings take the regions from.
-	placedBy uint64
-	// list is the answer of others as of the change listed.
-	list     []membership.Member
-	listed   uint64
-	peers    map[*peer]struct{}
-	watchers map[string]*watcher
-	// pending holds the members whose announcement or doubt is to be flooded, with the peer that it came from.
-	pending map[string]*peer
-	crashes map[*peer][]quarantine.Report
-	seen    seen[quarantine.Report]
-	// recent holds the latest crash reports for peers that connect later, because a flood misses a node whose
-	// connections are just being replaced.
-	recent []recentCrash
-	// synced means that a peer has answered a digest, so that the view is not this node's alone.
-	synced     bool
-	refutedAt  time.Time
-	ownSeeds   map[string]bool
-	adopter    rollout.Adopter
-	held       held
-	inForce    held
-	inForceAt  time.Time
-	pulling    uint64
-	pullUntil  time.Time
-	unreadable uint64
-	storeState StoreStatus
+	// mu guards the fields below. It is never held during I/O or a callback.
+	mu          sync.Mutex
+	view        *membership.View
+	rings       membership.Rings
+	ringsRoster uint64
+	// ringsConfigVersion is the version of the configuration that gave the members' regions when the rings were built.
+	ringsConfigVersion uint64
+	// cachedOthers is the result of otherMembers at the view change cachedChanges.
+	cachedOthers  []membership.Member
+	cachedChanges uint64
+	peers         map[*peer]struct{}
+	watchers      map[string]*watcher
+	// pendingFlood maps each member whose announcement, suspicion or death is to be flooded to the peer that sent it, or to nil
+	// when it comes from this node or the store.
+	pendingFlood   map[string]*peer
+	pendingCrashes map[*peer][]quarantine.Report
+	seenCrashes    boundedSet[quarantine.Report]
+	// recentCrashes holds the latest crash reports for peers that connect later, because a flood misses a node whose
+	// connections are being replaced at that moment.
+	recentCrashes []recentCrash
+	// synced is set once a peer has answered a digest, so that the view includes the members that this peer knows.
+	synced    bool
+	refutedAt time.Time
+	// ownSeeds holds the seed addresses at which this node itself answered.
+	ownSeeds          map[string]bool
+	adopter           rollout.Adopter
+	loaded            loadedConfig
+	inForce           loadedConfig
+	inForceAt         time.Time
+	pullVersion       uint64
+	pullDeadline      time.Time
+	unreadableVersion uint64
+	storeStatus       StoreStatus
 }
 
-// Start listens, joins by seeds and store, and keeps running until Stop or the end of ctx.
+// Start opens the control listener, joins through the seeds and the store, and runs until Stop or until ctx ends.
 func Start(ctx context.Context, o Options) (*Control, error) {
 	t := defaultTuning()
-	t.tls = nodesOnly{o.Keyring}
+	t.tls = nodeOnlyKeyring{o.Keyring}
 	return start(ctx, o, t)
 }
 
@@ -114,20 +116,20 @@
 		o.Metrics = event.NewMetrics()
 	}
 	c := &Control{
-		options:  o,
-		tuning:   t,
-		log:      o.Log,
-		metrics:  o.Metrics,
-		pacer:    &pacer{gap: t.dialGap, rand: o.Rand},
-		pollNow:  make(chan struct{}, 1),
-		changed:  make(chan struct{}, 1),
-		renewNow: make(chan struct{}, 1),
-		peers:    map[*peer]struct{}{},
-		watchers: map[string]*watcher{},
-		pending:  map[string]*peer{},
-		crashes:  map[*peer][]quarantine.Report{},
-		seen:     seen[quarantine.Report]{bound: seenCrashes},
-		ownSeeds: map[string]bool{},
+		options:        o,
+		tuning:         t,
+		log:            o.Log,
+		metrics:        o.Metrics,
+		pacer:          &pacer{interval: t.dialInterval, rand: o.Rand},
+		pollNow:        make(chan struct{}, 1),
+		changed:        make(chan struct{}, 1),
+		renewNow:       make(chan struct{}, 1),
+		peers:          map[*peer]struct{}{},
+		watchers:       map[string]*watcher{},
+		pendingFlood:   map[string]*peer{},
+		pendingCrashes: map[*peer][]quarantine.Report{},
+		seenCrashes:    boundedSet[quarantine.Report]{capacity: maxSeenCrashes},
+		ownSeeds:       map[string]bool{},
 	}
 	if err := c.openStore(); err != nil {
 		return nil, err
@@ -135,7 +137,7 @@
 	if err := c.listen(); err != nil {
 		return nil, err
 	}
-	if err := c.openView(); err != nil {
+	if err := c.initView(); err != nil {
 		return nil, errors.Join(err, c.closeTransport())
 	}
 	c.group = kernel.NewGroup(ctx)
@@ -148,11 +150,11 @@
 		c.store = c.tuning.store
 		return nil
 	}
-	client, err := tablestore.NewClient(c.options.Store, c.tuning.storeWait)
+	client, err := tablestore.NewClient(c.options.Store, c.tuning.storeTimeout)
 	if err != nil {
 		return err
 	}
-	c.store, c.closer = client, client.Close
+	c.store, c.closeStore = client, client.Close
 	return nil
 }
 
@@ -174,7 +176,7 @@
 	return nil
 }
 
-func (c *Control) openView() error {
+func (c *Control) initView() error {
 	self := c.options.Self
 	self.Control = cmp.Or(self.Control, c.Address())
 	self.Started = cmp.Or(self.Started, c.now().UnixMilli())
@@ -190,10 +192,10 @@
 			self.Control)
 	}
 	if !self.Valid() {
-		return errors.New("the own announcement has a field that is too long: shorten the names and addresses in the settings")
+		return errors.New("this node's announcement has a field that is too long: shorten the names and addresses in the settings")
 	}
 	c.view = membership.NewView(c.now(), self)
-	c.view.SetTimeouts(c.tuning.suspicion, c.tuning.tombstone)
+	c.view.SetTimeouts(c.tuning.suspicionTimeout, c.tuning.tombstoneRetention)
 	return nil
 }
 
@@ -202,9 +204,9 @@
 	c.group.Go("control-accept", c.acceptLoop)
 	c.group.Go("control-seeds", c.seedLoop)
 	c.group.Go("control-callbacks", c.callbackLoop)
-	c.group.Every("control-tick", c.tuning.flood, 0, r, func(context.Context) { c.tick() })
-	c.group.Every("control-digest", c.tuning.digest, jitter, r, func(context.Context) { c.sendDigests() })
-	c.group.Every("control-gauges", c.tuning.heartbeat, 0, r, func(context.Context) { c.setGauges() })
+	c.group.Every("control-tick", c.tuning.floodInterval, 0, r, func(context.Context) { c.tick() })
+	c.group.Every("control-digest", c.tuning.digestInterval, jitterFraction, r, func(context.Context) { c.sendDigests() })
+	c.group.Every("control-gauges", c.tuning.heartbeatInterval, 0, r, func(context.Context) { c.setGauges() })
 	if c.store != nil {
 		c.group.Go("control-announce", c.announceLoop)
 		c.group.Go("control-list", c.listLoop)
@@ -214,72 +216,72 @@
 
 func (c *Control) now() time.Time { return c.options.Clock.Now() }
 
-// Address returns the UDP address in use.
+// Address returns the UDP address of the control listener.
 func (c *Control) Address() string { return c.udp.LocalAddr().String() }
 
-// Done is closed when the control part ends, by Stop or because its listener failed.
+// Done returns a channel that is closed when the Control ends, by Stop or because its listener failed.
 func (c *Control) Done() <-chan struct{} { return c.group.Context().Done() }
 
-// Members returns the members of the current view without the own one.
+// Members returns the live members of the current view except this node.
 func (c *Control) Members() []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.others())
+	return slices.Clone(c.otherMembers())
 }
 
-// others returns the live members without the own one. The list is shared until the view changes, so callers that hand it
-// out copy it; the caller holds the lock.
-func (c *Control) others() []membership.Member {
-	if c.listed != c.view.Changes() {
+// otherMembers returns the live members except this node. The slice is cached until the view changes, so callers that pass it
+// on must copy it. The caller must hold c.mu.
+func (c *Control) otherMembers() []membership.Member {
+	if c.cachedChanges != c.view.Changes() {
 		self := c.view.Self().ID
-		c.list = slices.DeleteFunc(c.view.Live(), func(m membership.Member) bool { return m.ID == self })
-		c.listed = c.view.Changes()
+		c.cachedOthers = slices.DeleteFunc(c.view.Live(), func(m membership.Member) bool { return m.ID == self })
+		c.cachedChanges = c.view.Changes()
 	}
-	return c.list
+	return c.cachedOthers
 }
 
-// SetState announces a new state of the own member.
+// SetState changes the state of this node and announces it to the peers and the store.
 func (c *Control) SetState(s membership.State) {
 	c.mu.Lock()
 	c.view.SetState(c.now(), s)
-	c.pending[c.view.Self().ID] = nil
+	c.pendingFlood[c.view.Self().ID] = nil
 	c.mu.Unlock()
 	signal(c.renewNow)
 }
 
-// SpreadCrash sends crash reports to all nodes.
+// SpreadCrash floods crash reports to all nodes.
 func (c *Control) SpreadCrash(reports []quarantine.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range reports {
-		if c.seen.add(r) {
+		if c.seenCrashes.add(r) {
 			c.queueCrash(nil, r)
 		}
 	}
 	c.flushCrashes()
 }
 
-// PollStore looks for a new configuration now instead of at the next poll.
+// PollStore polls the store for a new configuration now instead of at the next interval.
 func (c *Control) PollStore() { signal(c.pollNow) }
 
-// Stop announces StateLeft, closes the connections and waits.
+// Stop announces StateLeft, deletes this node's row in the store, closes the connections and waits for the goroutines.
 func (c *Control) Stop() error {
 	c.SetState(membership.StateLeft)
 	c.tick()
 	c.deleteRow()
-	// Peers close the connection when they have read the announcement.
-	for deadline := time.Now().Add(c.tuning.stopWait); c.peerCount() > 0 && time.Now().Before(deadline); {
-		if !sleep(c.group.Context(), c.tuning.flood/10) {
+	// Peers close the connection after reading the announcement.
+	for deadline := time.Now().Add(c.tuning.stopTimeout); c.peerCount() > 0 && time.Now().Before(deadline); {
+		if !sleep(c.group.Context(), c.tuning.floodInterval/10) {
 			break
 		}
 	}
 	return c.abort()
 }
 
-// abort closes everything without telling anybody.
+// abort closes the store client, the connections and the listener without announcing that the node leaves.
 func (c *Control) abort() error {
-	if c.closer != nil {
-		c.closer()
+	if c.closeStore != nil {
+		c.closeStore()
 	}
 	err := c.group.Stop()
 	return errors.Join(err, c.closeTransport())
@@ -299,9 +301,9 @@
 	return len(c.peers)
 }
 
-// callbackLoop calls the node back from one goroutine, so that calls are in order and may take their time.
+// callbackLoop invokes OnConfig and OnMembers from one goroutine, so that the calls are in order and may block.
 func (c *Control) callbackLoop(ctx context.Context) error {
-	var changes, version uint64
+	var lastChanges, lastVersion uint64
 	for {
 		select {
 		case <-ctx.Done():
@@ -309,19 +311,19 @@
 		case <-c.changed:
 		}
 		c.mu.Lock()
-		members, inForce, now := []membership.Member(nil), c.inForce, c.view.Changes()
-		if now != changes {
-			members = slices.Clone(c.others())
+		members, inForce, current := []membership.Member(nil), c.inForce, c.view.Changes()
+		if current != lastChanges {
+			members = slices.Clone(c.otherMembers())
 		}
 		c.mu.Unlock()
-		if inForce.version > version {
-			version = inForce.version
+		if inForce.version > lastVersion {
+			lastVersion = inForce.version
 			if c.options.OnConfig != nil {
 				c.options.OnConfig(inForce.config)
 			}
 		}
-		if now != changes {
-			changes = now
+		if current != lastChanges {
+			lastChanges = current
 			if c.options.OnMembers != nil {
 				c.options.OnMembers(members)
 			}
@@ -329,6 +331,7 @@
 	}
 }
 
+// signal wakes the receiver of ch without blocking; signals sent before it receives are merged into one.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -49,67 +49,68 @@
 	require.Equal(t, base+1, accepted.Version)
 }
 
-// Guards against members that never learn of each other, and against a configuration that does not reach every node.
-func TestNodesJoinAndTakeTheConfiguration(t *testing.T) {
+// Guards against members that never discover each other, and against a configuration that does not reach every node.
+func TestNodesJoinAndAdoptConfiguration(t *testing.T) {
 	store := newMemoryStore()
 	nodes := startNodes(t, 8, store)
-	eventually(t, "everyone sees everyone", allSee(nodes, 8))
+	eventually(t, "all nodes see each other", allSee(nodes, 8))
 	applyConfig(t, store, 0)
 	nodes[3].PollStore()
-	eventually(t, "version 1 in force everywhere", allRun(nodes, 1))
+	eventually(t, "version 1 in force everywhere", allInForce(nodes, 1))
 }
 
-// Guards against a node that needs the store to join or to start, and against a start below the version in force.
-func TestStoreOutageDoesNotStopJoining(t *testing.T) {
+// Guards against a node that needs the store to join or to start, and against a restarted node that first puts an older
+// version in force than the one that the other nodes have.
+func TestNodesJoinDuringStoreOutage(t *testing.T) {
 	store := newMemoryStore()
 	nodes := startNodes(t, 5, store)
-	eventually(t, "everyone sees everyone", allSee(nodes, 5))
+	eventually(t, "all nodes see each other", allSee(nodes, 5))
 	applyConfig(t, store, 0)
-	eventually(t, "version 1 in force everywhere", allRun(nodes, 1))
+	eventually(t, "version 1 in force everywhere", allInForce(nodes, 1))
 	applyConfig(t, store, 1)
-	eventually(t, "version 2 in force everywhere", allRun(nodes, 2))
+	eventually(t, "version 2 in force everywhere", allInForce(nodes, 2))
 	store.setDown(true)
 
 	require.NoError(t, nodes[4].Stop())
-	eventually(t, "the stopped one has left", allSee(nodes[:4], 4))
-	restarted := startNode(t, place{
+	eventually(t, "the stopped node has left", allSee(nodes[:4], 4))
+	restarted := startNode(t, nodeOptions{
 		id: "n04-again", region: "rn", listen: nodes[4].Address(), seeds: []string{nodes[0].Address()}, store: store,
 	})
 	nodes[4] = restarted
-	eventually(t, "everyone sees everyone without the store", allSee(nodes, 5))
-	eventually(t, "the new one runs the configuration", allRun(nodes, 2))
-	require.Equal(t, []uint64{2}, restarted.inForceVersions(), "an older version was in force first")
+	eventually(t, "all nodes see each other without the store", allSee(nodes, 5))
+	eventually(t, "the restarted node has version 2 in force", allInForce(nodes, 2))
+	require.Equal(t, []uint64{2}, restarted.inForceVersions(), "an older version was put in force first")
 }
 
-// Guards against a store that never answers and holds up joining, the spread of a configuration, or a stop.
+// Guards against a store that never answers and thereby blocks joining, the distribution of a configuration, or a stop.
 func TestHangingStoreBlocksNothing(t *testing.T) {
 	store := newMemoryStore()
 	applyConfig(t, store, 0)
-	nodes := []*node{startNode(t, place{id: "a", region: "rn", store: store})}
-	eventually(t, "the first one has the configuration", allRun(nodes, 1))
+	nodes := []*testNode{startNode(t, nodeOptions{id: "a", region: "rn", store: store})}
+	eventually(t, "the first node has version 1 in force", allInForce(nodes, 1))
 	for _, id := range []string{"b", "c", "d"} {
-		nodes = append(nodes, startNode(t, place{
+		nodes = append(nodes, startNode(t, nodeOptions{
 			id: id, region: "rn", seeds: []string{nodes[0].Address()}, store: hangingStore{store},
 		}))
 	}
-	eventually(t, "everyone sees everyone", allSee(nodes, 4))
-	eventually(t, "version 1 in force everywhere", allRun(nodes, 1))
+	eventually(t, "all nodes see each other", allSee(nodes, 4))
+	eventually(t, "version 1 in force everywhere", allInForce(nodes, 1))
 	require.NoError(t, nodes[3].Stop())
-	eventually(t, "the stopped one has left", allSee(nodes[:3], 3))
+	eventually(t, "the stopped node has left", allSee(nodes[:3], 3))
 }
 
-// Guards against two groups of nodes that started apart and never find each other while the store is down.
-func TestGroupsFindEachOtherBySeeds(t *testing.T) {
+// Guards against two groups of nodes that started separately, without a store, and never merge.
+func TestSeparateGroupsMergeThroughSeeds(t *testing.T) {
 	left := startRegion(t, 3)
-	right := startNode(t, place{id: "x", region: "rn"})
-	bridge := startNode(t, place{id: "y", region: "rn", seeds: []string{right.Address(), left[0].Address()}})
-	eventually(t, "everyone sees everyone", allSee(append(left, right, bridge), 5))
+	right := startNode(t, nodeOptions{id: "x", region: "rn"})
+	bridge := startNode(t, nodeOptions{id: "y", region: "rn", seeds: []string{right.Address(), left[0].Address()}})
+	eventually(t, "all nodes see each other", allSee(append(left, right, bridge), 5))
 }
 
-// Guards against crash reports that are lost, repeated or sent back to the node that reported.
+// Guards against crash reports that are lost, delivered twice or sent back to the node that reported them.
 func TestCrashReportsReachEveryNodeOnce(t *testing.T) {
 	nodes := startNodes(t, 6, nil)
-	eventually(t, "everyone sees everyone", allSee(nodes, 6))
+	eventually(t, "all nodes see each other", allSee(nodes, 6))
 	report := quarantine.Report{Digest: 7, Crash: "n00/1"}
 	nodes[0].SpreadCrash([]quarantine.Report{report})
 	nodes[0].SpreadCrash([]quarantine.Report{report})
@@ -136,12 +137,13 @@
 	}
 	require.Empty(t, nodes[0].crashReports())
 
-	late := startNode(t, place{id: "late", region: "rn", seeds: []string{nodes[0].Address()}})
+	late := startNode(t, nodeOptions{id: "late", region: "rn", seeds: []string{nodes[0].Address()}})
 	eventually(t, "a node that joins later has both", func() bool { return len(late.crashReports()) == 2 })
 }
 
-// Guards against rows of dead nodes that are counted on or stay for good, and against a leave that keeps its row.
-func TestRowsOfDeadNodes(t *testing.T) {
+// Guards against rows of dead nodes that count as live members or are never deleted, and against a node that stops and leaves
+// its row in the store.
+func TestExpiredRowsAreIgnoredAndDeleted(t *testing.T) {
 	store := newMemoryStore()
 	for key, age := range map[string]time.Duration{"old": 2 * time.Hour, "lapsed": 3 * time.Minute, "fresh": time.Second} {
 		value := fmt.Sprintf(`{"member":{"id":%q,"counter":1,"control":%q,"state":"serving"},"lease-ms":120000}`, key, key)
@@ -151,12 +153,12 @@
 		row.AgeMillis = age.Milliseconds()
 		store.rows[tablestore.MembersTable][key] = row
 	}
-	n := startNode(t, place{id: "a", region: "rn", store: store})
+	n := startNode(t, nodeOptions{id: "a", region: "rn", store: store})
 	exists := func(key string) bool {
 		_, ok, err := store.Row(t.Context(), tablestore.MembersTable, key)
 		return ok && err == nil
 	}
-	eventually(t, "the old row is deleted and the own one written", func() bool { return !exists("old") && exists("a") })
+	eventually(t, "the old row is deleted and the node's own row is written", func() bool { return !exists("old") && exists("a") })
 	require.True(t, exists("lapsed") && exists("fresh"))
 	eventually(t, "the fresh row is a member", func() bool { return len(n.Members()) == 1 })
 	require.Equal(t, "fresh", n.Members()[0].ID)
@@ -164,21 +166,21 @@
 	require.False(t, exists("a"))
 }
 
-// Guards against TLS settings of the keyring that QUIC does not take, against intervals of operation that never join, and
-// against an operator's key that is taken for a node's.
-func TestStartJoinsWithTheKeyring(t *testing.T) {
+// Guards against TLS settings of the keyring that QUIC does not accept, against default intervals with which nodes never join,
+// and against an operator's key that is accepted as a node's key.
+func TestStartJoinsWithKeyringAndRefusesOperatorKey(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, keys.Issue(dir))
 	keyring, err := keys.Load(keys.PathsIn(dir, keys.RoleNode))
 	require.NoError(t, err)
 	metrics := event.NewMetrics()
 	var seeds []string
-	var nodes []*node
+	var nodes []*testNode
 	for range 2 {
 		c, err := Start(t.Context(), Options{Listen: "127.0.0.1:0", Seeds: seeds, Keyring: keyring, Metrics: metrics})
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.abort() })
-		nodes = append(nodes, &node{Control: c})
+		nodes = append(nodes, &testNode{Control: c})
 		seeds = []string{c.Address()}
 	}
 	eventually(t, "both see each other", allSee(nodes, 2))
@@ -199,21 +201,22 @@
 	require.True(t, refused.ErrorCode.IsCryptoError(), "%v", err)
 }
 
-// Guards against rings that split the nodes into groups, when some announcements are older than the first configuration.
+// Guards against rings that split the nodes into separate groups because some announcements were sent before their node had
+// its first configuration and have no region.
 func TestRingsDoNotDependOnAnnouncedRegions(t *testing.T) {
 	cfg, problems := inventory.Parse([]inventory.File{{Name: "inventory.ini", Text: fmt.Sprintf(testInventory, 1)},
 		{Name: "rules.ini", Text: testRules}})
 	require.Empty(t, problems)
-	c := &Control{held: held{config: cfg}}
+	c := &Control{loaded: loadedConfig{config: cfg}}
 	var members []membership.Member
 	for i := range 6 {
 		m := membership.Member{ID: fmt.Sprint(i), AvailabilityZone: "rn-1", Region: []string{"", "rn"}[i%2]}
 		members = append(members, m)
 	}
-	rings := membership.NewRings(c.placed(members))
+	rings := membership.NewRings(c.withConfiguredRegions(members))
 	reached := map[string]bool{"0": true}
 	for range members {
-		for _, m := range c.placed(members) {
+		for _, m := range c.withConfiguredRegions(members) {
 			for _, next := range rings.Watched(m) {
 				if reached[m.ID] || reached[next.ID] {
 					reached[m.ID], reached[next.ID] = true, true
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,3 +1,3 @@
-// Package control connects a node to a few others over QUIC and to the store, and keeps membership, configuration and
-// quarantine in step.
+// Package control runs the control plane of a node: over QUIC connections to a few other nodes it gossips membership, the
+// configuration and crash reports, and it synchronizes membership and the configuration with the store.
 package control
--- a/control/fault_test.go
+++ b/control/fault_test.go
@@ -24,7 +24,8 @@
 	"lovagelane/membership"
 )
 
-// childVariable holds the seed and the key of a test process that runs one node until it is killed.
+// childVariable names the environment variable that makes the test binary run one node until it is killed. Its value holds the
+// seed address, the private key and the certificate.
 const childVariable = "LOVAGELANE_TEST_NODE"
 
 func TestMain(m *testing.M) {
@@ -51,14 +52,14 @@
 	c, err := start(context.Background(), Options{
 		Self:   membership.Member{ID: "child", Service: "maps", Region: "rn", AvailabilityZone: "rn-1"},
 		Listen: "127.0.0.1:0", Seeds: fields[:1],
-	}, quick(keys))
+	}, fastTuning(keys))
 	if err != nil {
 		panic(err)
 	}
 	<-c.Done()
 }
 
-// startChild runs a node named "child" in a process of its own.
+// startChild runs a node with the id "child" in a separate process.
 func startChild(t *testing.T, seed string) *os.Process {
 	t.Helper()
 	keys := sharedKeys()
@@ -76,18 +77,18 @@
 	return cmd.Process
 }
 
-func startRegion(t *testing.T, n int) []*node {
+func startRegion(t *testing.T, n int) []*testNode {
 	t.Helper()
-	var nodes []*node
+	var nodes []*testNode
 	var seeds []string
 	for i := range n {
-		nodes = append(nodes, startNode(t, place{id: string(rune('a' + i)), region: "rn", seeds: seeds}))
+		nodes = append(nodes, startNode(t, nodeOptions{id: string(rune('a' + i)), region: "rn", seeds: seeds}))
 		seeds = []string{nodes[0].Address()}
 	}
 	return nodes
 }
 
-func child(n *node) (membership.Member, bool) {
+func childMember(n *testNode) (membership.Member, bool) {
 	for _, m := range n.Members() {
 		if m.ID == "child" {
 			return m, true
@@ -96,10 +97,10 @@
 	return membership.Member{}, false
 }
 
-func allHaveChild(nodes []*node, want bool) func() bool {
+func allHaveChild(nodes []*testNode, want bool) func() bool {
 	return func() bool {
 		for _, n := range nodes {
-			if m, ok := child(n); ok != want || m.Suspected {
+			if m, ok := childMember(n); ok != want || m.Suspected {
 				return false
 			}
 		}
@@ -107,35 +108,36 @@
 	}
 }
 
-// Guards against a member that is killed and stays in the views, and against one that was only paused and is gone for good.
-func TestKilledAndFrozenMembers(t *testing.T) {
+// Guards against a killed member that stays in the views, and against a paused member that is not accepted again after it
+// resumes.
+func TestKilledMemberIsRemovedAndPausedMemberRejoins(t *testing.T) {
 	nodes := startRegion(t, 5)
 	process := startChild(t, nodes[0].Address())
 	eventually(t, "the child joins", allHaveChild(nodes, true))
-	before, _ := child(nodes[0])
+	before, _ := childMember(nodes[0])
 
 	require.NoError(t, process.Signal(syscall.SIGSTOP))
 	eventually(t, "the frozen child is removed", allHaveChild(nodes, false))
 	require.NoError(t, process.Signal(syscall.SIGCONT))
 	eventually(t, "the resumed child is accepted again", allHaveChild(nodes, true))
-	after, _ := child(nodes[0])
+	after, _ := childMember(nodes[0])
 	require.Greater(t, after.Counter, before.Counter)
 
 	require.NoError(t, process.Kill())
 	eventually(t, "the killed child is removed", allHaveChild(nodes, false))
-	eventually(t, "nobody else was removed", allSee(nodes, 5))
+	eventually(t, "no other member was removed", allSee(nodes, 5))
 }
 
-// relay passes datagrams to a node. After cut it drops those of connections that it has already seen, in both directions.
+// relay forwards datagrams to a node. After cut it drops the datagrams of all connections seen so far, in both directions.
 type relay struct {
 	listener *net.UDPConn
 	target   *net.UDPAddr
 	group    *kernel.Group
 
-	mu    sync.Mutex
-	seen  map[string]bool
-	dead  map[string]bool
-	flows map[string]*net.UDPConn
+	mu      sync.Mutex
+	seen    map[string]bool
+	dropped map[string]bool
+	flows   map[string]*net.UDPConn
 }
 
 const connectionIDBytes = 4
@@ -146,7 +148,7 @@
 	require.NoError(t, err)
 	r := &relay{
 		listener: listener, group: kernel.NewGroup(context.Background()),
-		seen: map[string]bool{}, dead: map[string]bool{}, flows: map[string]*net.UDPConn{},
+		seen: map[string]bool{}, dropped: map[string]bool{}, flows: map[string]*net.UDPConn{},
 	}
 	t.Cleanup(func() {
 		_ = listener.Close()
@@ -160,8 +162,8 @@
 	return r
 }
 
-// passes reports whether a datagram may pass: handshakes always do, others unless their connection was cut.
-func (r *relay) passes(b []byte) bool {
+// forwards reports whether to forward a datagram: handshake packets always, others unless their connection was cut.
+func (r *relay) forwards(b []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(b) <= connectionIDBytes || b[0]&0x80 != 0 {
@@ -169,14 +171,14 @@
 	}
 	id := string(b[1 : 1+connectionIDBytes])
 	r.seen[id] = true
-	return !r.dead[id]
+	return !r.dropped[id]
 }
 
 func (r *relay) cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.seen {
-		r.dead[id] = true
+		r.dropped[id] = true
 	}
 }
 
@@ -188,7 +190,7 @@
 			if err != nil {
 				return nil
 			}
-			if f := r.flow(from); f != nil && r.passes(b[:n]) {
+			if f := r.flow(from); f != nil && r.forwards(b[:n]) {
 				_, _ = f.Write(b[:n])
 			}
 		}
@@ -213,7 +215,7 @@
 			if err != nil {
 				return nil
 			}
-			if r.passes(b[:n]) {
+			if r.forwards(b[:n]) {
 				_, _ = r.listener.WriteToUDP(b[:n], from)
 			}
 		}
@@ -221,14 +223,14 @@
 	return f
 }
 
-// Guards against a connection that went silent and stays in use, and against suspicion of a member that a new connection
+// Guards against a silent connection that stays in use, and against the suspicion of a member that a new connection still
 // reaches.
 func TestSilentConnectionIsReplacedWithoutSuspicion(t *testing.T) {
 	r := startRelay(t)
-	far := startNode(t, place{id: "far", region: "rn", control: r.listener.LocalAddr().String()})
+	far := startNode(t, nodeOptions{id: "far", region: "rn", control: r.listener.LocalAddr().String()})
 	r.target = far.udp.LocalAddr().(*net.UDPAddr)
 	r.run()
-	near := startNode(t, place{id: "near", region: "rn", seeds: []string{r.listener.LocalAddr().String()}})
+	near := startNode(t, nodeOptions{id: "near", region: "rn", seeds: []string{r.listener.LocalAddr().String()}})
 	outgoing := func() (PeerStatus, bool) {
 		for _, p := range near.Status().Peers {
 			if p.Outgoing && p.ID == "far" {
@@ -252,8 +254,8 @@
 	require.False(t, near.Members()[0].Suspected)
 }
 
-// dialRaw connects to a node as a peer that the test drives by hand.
-func dialRaw(t *testing.T, n *node) (*quic.Conn, *quic.Stream) {
+// dialRaw connects to a node as a peer whose frames the test writes itself.
+func dialRaw(t *testing.T, n *testNode) (*quic.Conn, *quic.Stream) {
 	t.Helper()
 	conn, err := quic.DialAddr(t.Context(), n.Address(), sharedKeys().Client(protocol), &quic.Config{})
 	require.NoError(t, err)
@@ -266,9 +268,9 @@
 	return conn, stream
 }
 
-// Guards against a malformed frame that is ignored, and against an unknown kind that ends the connection.
-func TestBrokenPeers(t *testing.T) {
-	n := startNode(t, place{id: "a", region: "rn"})
+// Guards against a malformed frame that is ignored, and against a frame of an unknown kind that closes the connection.
+func TestMalformedFrameClosesConnection(t *testing.T) {
+	n := startNode(t, nodeOptions{id: "a", region: "rn"})
 	conn, stream := dialRaw(t, n)
 	_, err := readFrame(stream)
 	require.NoError(t, err)
@@ -286,7 +288,7 @@
 		_, ok := n.view.Get("told")
 		return ok
 	})
-	_, err = stream.Write(framed([]byte{0xff}))
+	_, err = stream.Write(withLengthPrefix([]byte{0xff}))
 	require.NoError(t, err)
 	<-conn.Context().Done()
 	var closed *quic.ApplicationError
@@ -294,9 +296,9 @@
 	require.Equal(t, codeMalformed, closed.ErrorCode)
 }
 
-// Guards against a node that takes any number of connections.
+// Guards against a node that accepts an unlimited number of connections.
 func TestInboundConnectionsAreBounded(t *testing.T) {
-	n := startNode(t, place{id: "a", region: "rn", maxInbound: 2})
+	n := startNode(t, nodeOptions{id: "a", region: "rn", maxInbound: 2})
 	for range 2 {
 		_, stream := dialRaw(t, n)
 		_, err := readFrame(stream)
@@ -310,20 +312,20 @@
 	require.Equal(t, codeBusy, closed.ErrorCode)
 }
 
-// Guards against an announced address that no other instance can reach.
+// Guards against announcing an address that no other instance can reach.
 func TestStartRefusesUnreachableAddresses(t *testing.T) {
 	for _, listen := range []string{"0.0.0.0:0", ":0", "nonsense"} {
-		_, err := start(t.Context(), Options{Listen: listen}, quick(sharedKeys()))
+		_, err := start(t.Context(), Options{Listen: listen}, fastTuning(sharedKeys()))
 		require.ErrorContains(t, err, "10.0.0.1:7300", listen)
 	}
 }
 
-// Guards against a peer without a key of the deployment.
+// Guards against accepting a peer whose key is not from this deployment.
 func TestForeignKeysAreRefused(t *testing.T) {
-	n := startNode(t, place{id: "a", region: "rn"})
+	n := startNode(t, nodeOptions{id: "a", region: "rn"})
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
-	foreign := keysOf(key)
+	foreign := selfSignedKeys(key)
 	foreign.pool = sharedKeys().pool
 	conn, err := quic.DialAddr(t.Context(), n.Address(), foreign.Client(protocol), &quic.Config{})
 	if err == nil {
@@ -333,11 +335,12 @@
 	require.Empty(t, n.Status().Peers)
 }
 
-// Guards against goroutines and sockets that outlive a planned stop, and against a stop that waits for its peers in vain.
-func TestStopLeavesNothingBehind(t *testing.T) {
+// Guards against goroutines and sockets that are still open after a planned stop, and against a stop that waits in vain for its
+// peers to close the connections.
+func TestStopReleasesResources(t *testing.T) {
 	existing := goleak.IgnoreCurrent()
 	nodes := startNodes(t, 4, newMemoryStore())
-	eventually(t, "everyone sees everyone", allSee(nodes, 4))
+	eventually(t, "all nodes see each other", allSee(nodes, 4))
 	require.NoError(t, nodes[3].Stop())
 	eventually(t, "the others see it leave", allSee(nodes[:3], 3))
 	for _, n := range nodes[:3] {
--- a/control/frame.go
+++ b/control/frame.go
@@ -15,13 +15,13 @@
 
 const (
 	maxFrameBytes = 64 << 10
-	// maxTextFrameBytes leaves room for the hash and the encoding around the text.
-	maxTextFrameBytes = rollout.MaxTextBytes + 1<<10
-	headerBytes       = 4
-	maxHashBytes      = 64
-	maxListItems      = 4096
+	// maxConfigFrameBytes includes the hash and the encoding overhead of a configuration text.
+	maxConfigFrameBytes = rollout.MaxTextBytes + 1<<10
+	headerBytes         = 4
+	maxHashBytes        = 64
+	maxListItems        = 4096
 
-	// membersPerFrame keeps a frame of announcements with the longest fields below maxFrameBytes.
+	// membersPerFrame keeps a frame of announcements with fields of maximum length below maxFrameBytes.
 	membersPerFrame = 64
 	marksPerFrame   = 512
 	reportsPerFrame = 256
@@ -36,9 +36,9 @@
 	kindSuspect
 	kindDigest
 	kindDiff
-	kindNotice
-	kindPull
-	kindText
+	kindConfigNotice
+	kindConfigPull
+	kindConfigText
 	kindCrash
 )
 
@@ -49,11 +49,11 @@
 	// hello is the first frame in each direction.
 	hello struct {
 		Member membership.Member `cbor:"1,keyasint"`
-		// Held is the configuration version whose text the sender holds, 0 for none.
-		Held uint64 `cbor:"2,keyasint"`
+		// ConfigVersion is the configuration version that the sender has loaded, or 0 if it has none.
+		ConfigVersion uint64 `cbor:"2,keyasint"`
 	}
 	heartbeat struct {
-		Held uint64 `cbor:"1,keyasint"`
+		ConfigVersion uint64 `cbor:"1,keyasint"`
 	}
 	announce struct {
 		Members []membership.Member `cbor:"1,keyasint"`
@@ -62,23 +62,23 @@
 		Marks []membership.Mark `cbor:"1,keyasint"`
 	}
 	digest struct {
-		Parts []uint64 `cbor:"1,keyasint"`
+		Buckets []uint64 `cbor:"1,keyasint"`
 	}
-	// diff answers a digest with the members in the parts that differ; the last one of an answer says so.
+	// diff answers a digest with the members in the buckets that differ. Last is set on the final frame of an answer.
 	diff struct {
-		Parts   []int               `cbor:"1,keyasint"`
+		Buckets []int               `cbor:"1,keyasint"`
 		Members []membership.Member `cbor:"2,keyasint"`
 		Last    bool                `cbor:"3,keyasint"`
 	}
-	// notice says that the sender holds the text of a version.
-	notice struct {
+	// configNotice announces that the sender has loaded a configuration version.
+	configNotice struct {
 		Version uint64 `cbor:"1,keyasint"`
 		Hash    string `cbor:"2,keyasint"`
 	}
-	pull struct {
+	configPull struct {
 		Version uint64 `cbor:"1,keyasint"`
 	}
-	text struct {
+	configText struct {
 		Version uint64 `cbor:"1,keyasint"`
 		Hash    string `cbor:"2,keyasint"`
 		Body    []byte `cbor:"3,keyasint"`
@@ -88,18 +88,18 @@
 	}
 )
 
-func (hello) kind() kind     { return kindHello }
-func (heartbeat) kind() kind { return kindHeartbeat }
-func (announce) kind() kind  { return kindAnnounce }
-func (suspect) kind() kind   { return kindSuspect }
-func (digest) kind() kind    { return kindDigest }
-func (diff) kind() kind      { return kindDiff }
-func (notice) kind() kind    { return kindNotice }
-func (pull) kind() kind      { return kindPull }
-func (text) kind() kind      { return kindText }
-func (crash) kind() kind     { return kindCrash }
-
-// envelope is a frame's CBOR: an array of its kind and its body.
+func (hello) kind() kind        { return kindHello }
+func (heartbeat) kind() kind    { return kindHeartbeat }
+func (announce) kind() kind     { return kindAnnounce }
+func (suspect) kind() kind      { return kindSuspect }
+func (digest) kind() kind       { return kindDigest }
+func (diff) kind() kind         { return kindDiff }
+func (configNotice) kind() kind { return kindConfigNotice }
+func (configPull) kind() kind   { return kindConfigPull }
+func (configText) kind() kind   { return kindConfigText }
+func (crash) kind() kind        { return kindCrash }
+
+// envelope is the CBOR encoding of a frame: an array of its kind and its body.
 type envelope struct {
 	_    struct{} `cbor:",toarray"`
 	Kind kind
@@ -108,7 +108,7 @@
 
 var (
 	errMalformed   = errors.New("malformed frame")
-	errUnknownKind = errors.New("frame kind of a later version")
+	errUnknownKind = errors.New("unknown frame kind")
 )
 
 var frameDecoder = func() cbor.DecMode {
@@ -124,7 +124,7 @@
 	return mode
 }()
 
-// encodeFrame returns the frame with its length in front.
+// encodeFrame returns the encoded frame with a length prefix.
 func encodeFrame(f Frame) ([]byte, error) {
 	body, err := cbor.Marshal(f)
 	if err != nil {
@@ -134,28 +134,28 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(data) > bound(f.kind()) {
-		return nil, fmt.Errorf("frame of kind %d has %d bytes, more than its bound", f.kind(), len(data))
+	if len(data) > maxEncodedBytes(f.kind()) {
+		return nil, fmt.Errorf("frame of kind %d has %d bytes, more than the maximum for this kind", f.kind(), len(data))
 	}
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, headerBytes+len(data)), uint32(len(data))), data...), nil
 }
 
-func bound(k kind) int {
-	if k == kindText {
-		return maxTextFrameBytes
+func maxEncodedBytes(k kind) int {
+	if k == kindConfigText {
+		return maxConfigFrameBytes
 	}
 	return maxFrameBytes
 }
 
-// readFrame reads one frame. It fails with errUnknownKind when the frame was skipped, with errMalformed when the
-// connection cannot be used further, and with the reader's error otherwise.
+// readFrame reads one frame. It returns errUnknownKind if it skipped a frame of a later protocol version, errMalformed if the
+// connection must be closed, and the reader's error otherwise.
 func readFrame(r io.Reader) (Frame, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(header[:])
-	if n == 0 || n > maxTextFrameBytes {
+	if n == 0 || n > maxConfigFrameBytes {
 		return nil, fmt.Errorf("%w: length %d", errMalformed, n)
 	}
 	data := make([]byte, n)
@@ -170,7 +170,7 @@
 	if err := frameDecoder.Unmarshal(data, &e); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	if len(data) > bound(e.Kind) {
+	if len(data) > maxEncodedBytes(e.Kind) {
 		return nil, fmt.Errorf("%w: kind %d has %d bytes", errMalformed, e.Kind, len(data))
 	}
 	switch e.Kind {
@@ -186,12 +186,12 @@
 		return decodeBody[digest](e.Body)
 	case kindDiff:
 		return decodeBody[diff](e.Body)
-	case kindNotice:
-		return decodeBody[notice](e.Body)
-	case kindPull:
-		return decodeBody[pull](e.Body)
-	case kindText:
-		return decodeBody[text](e.Body)
+	case kindConfigNotice:
+		return decodeBody[configNotice](e.Body)
+	case kindConfigPull:
+		return decodeBody[configPull](e.Body)
+	case kindConfigText:
+		return decodeBody[configText](e.Body)
 	case kindCrash:
 		return decodeBody[crash](e.Body)
 	}
@@ -203,42 +203,42 @@
 	if err := frameDecoder.Unmarshal(body, &f); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	if err := checkFrame(f); err != nil {
+	if err := validateFrame(f); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
 	return f, nil
 }
 
-// checkFrame bounds the fields that are stored or passed on; members are checked when they are merged.
-func checkFrame(f Frame) error {
+// validateFrame checks the lengths of fields that are stored or forwarded; members are validated when they are merged.
+func validateFrame(f Frame) error {
 	switch f := f.(type) {
 	case hello:
 		if !f.Member.Valid() {
-			return errors.New("hello without a valid member")
+			return errors.New("hello with an invalid member")
 		}
 	case digest:
-		if len(f.Parts) != membership.DigestBuckets {
-			return fmt.Errorf("digest of %d parts", len(f.Parts))
+		if len(f.Buckets) != membership.DigestBuckets {
+			return fmt.Errorf("digest has the wrong number of buckets: %d", len(f.Buckets))
 		}
-	case notice:
+	case configNotice:
 		if len(f.Hash) > maxHashBytes {
-			return errors.New("long hash")
+			return errors.New("hash too long")
 		}
-	case text:
+	case configText:
 		if len(f.Hash) > maxHashBytes || len(f.Body) > rollout.MaxTextBytes {
-			return errors.New("long hash or text")
+			return errors.New("hash or configuration text too long")
 		}
 	case crash:
 		for _, r := range f.Reports {
 			if len(r.Crash) > 2*maxHashBytes {
-				return errors.New("long crash id")
+				return errors.New("crash id too long")
 			}
 		}
 	}
 	return nil
 }
 
-// chunks splits a list so that each part fits a frame.
+// chunks splits a list into slices of at most size items.
 func chunks[T any](list []T, size int) [][]T {
 	var parts [][]T
 	for len(list) > size {
--- a/control/frame_test.go
+++ b/control/frame_test.go
@@ -15,8 +15,8 @@
 	"lovagelane/rollout"
 )
 
-// longest returns a member whose fields all have their greatest length.
-func longest() membership.Member {
+// maxMember returns a member with all fields at their maximum length.
+func maxMember() membership.Member {
 	field := strings.Repeat("x", 128)
 	return membership.Member{
 		ID: strings.Repeat("i", 64), Counter: 1 << 60, Service: field, Region: field, AvailabilityZone: field, Calls: field,
@@ -32,20 +32,20 @@
 	return list
 }
 
-// Guards against frames that do not come back as they were sent, and against full frames that exceed the bound.
-func TestFramesComeBack(t *testing.T) {
-	mark := membership.Mark{ID: longest().ID, Counter: 1 << 60, Dead: true}
+// Guards against frames that decode to other values than were encoded, and against full frames that exceed the size limit.
+func TestFramesRoundTrip(t *testing.T) {
+	mark := membership.Mark{ID: maxMember().ID, Counter: 1 << 60, Dead: true}
 	report := quarantine.Report{Digest: 1 << 63, Crash: strings.Repeat("c", 128), Cleared: true}
 	frames := []Frame{
-		hello{Member: longest(), Held: 7},
-		heartbeat{Held: 7},
-		announce{Members: repeat(longest(), membersPerFrame)},
+		hello{Member: maxMember(), ConfigVersion: 7},
+		heartbeat{ConfigVersion: 7},
+		announce{Members: repeat(maxMember(), membersPerFrame)},
 		suspect{Marks: repeat(mark, marksPerFrame)},
-		digest{Parts: repeat(uint64(1<<63), membership.DigestBuckets)},
-		diff{Parts: repeat(63, membership.DigestBuckets), Members: repeat(longest(), membersPerFrame), Last: true},
-		notice{Version: 7, Hash: rollout.Hash(nil)},
-		pull{Version: 7},
-		text{Version: 7, Hash: rollout.Hash(nil), Body: make([]byte, rollout.MaxTextBytes)},
+		digest{Buckets: repeat(uint64(1<<63), membership.DigestBuckets)},
+		diff{Buckets: repeat(63, membership.DigestBuckets), Members: repeat(maxMember(), membersPerFrame), Last: true},
+		configNotice{Version: 7, Hash: rollout.Hash(nil)},
+		configPull{Version: 7},
+		configText{Version: 7, Hash: rollout.Hash(nil), Body: make([]byte, rollout.MaxTextBytes)},
 		crash{Reports: repeat(report, reportsPerFrame)},
 	}
 	var stream bytes.Buffer
@@ -61,7 +61,7 @@
 	}
 }
 
-func framed(data []byte) []byte {
+func withLengthPrefix(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...)
 }
 
@@ -71,25 +71,27 @@
 	require.NoError(t, err)
 	data, err := cbor.Marshal(envelope{Kind: k, Body: b})
 	require.NoError(t, err)
-	return framed(data)
+	return withLengthPrefix(data)
 }
 
-// Guards against memory or work that a broken peer could cause, and against a later version that ends the connection.
-func TestBrokenFrames(t *testing.T) {
+// Guards against malformed frames with which a faulty peer could cause unbounded memory use or work, and against frames of a
+// later protocol version that are treated as malformed, which would close the connection.
+func TestMalformedFramesAreRejected(t *testing.T) {
 	cases := []struct {
 		name string
 		data []byte
 		want error
 	}{
-		{"no length", framed(nil), errMalformed},
+		{"no length", withLengthPrefix(nil), errMalformed},
 		{"length beyond every bound", binary.BigEndian.AppendUint32(nil, 1<<31), errMalformed},
-		{"no CBOR", framed([]byte{0xff, 0xff}), errMalformed},
+		{"no CBOR", withLengthPrefix([]byte{0xff, 0xff}), errMalformed},
 		{"body of another type", rawFrame(t, kindHeartbeat, "text"), errMalformed},
-		{"large frame that is no text", rawFrame(t, kindAnnounce, announce{Members: repeat(longest(), 2*membersPerFrame)}), errMalformed},
-		{"text beyond its bound", rawFrame(t, kindText, text{Body: make([]byte, rollout.MaxTextBytes+1)}), errMalformed},
-		{"short digest", rawFrame(t, kindDigest, digest{Parts: []uint64{1}}), errMalformed},
+		{"large frame that is no text",
+			rawFrame(t, kindAnnounce, announce{Members: repeat(maxMember(), 2*membersPerFrame)}), errMalformed},
+		{"text beyond its bound", rawFrame(t, kindConfigText, configText{Body: make([]byte, rollout.MaxTextBytes+1)}), errMalformed},
+		{"short digest", rawFrame(t, kindDigest, digest{Buckets: []uint64{1}}), errMalformed},
 		{"hello without a member", rawFrame(t, kindHello, hello{}), errMalformed},
-		{"too many items", rawFrame(t, kindDiff, diff{Parts: make([]int, maxListItems+1)}), errMalformed},
+		{"too many items", rawFrame(t, kindDiff, diff{Buckets: make([]int, maxListItems+1)}), errMalformed},
 		{"unknown kind", rawFrame(t, 200, "later"), errUnknownKind},
 		{"unknown field", rawFrame(t, kindHeartbeat, map[int]int{1: 7, 9: 9}), nil},
 	}
@@ -101,7 +103,7 @@
 	}
 }
 
-// Guards against bytes of a peer that make the decoder panic.
+// Guards against input from a peer that makes the decoder panic.
 func TestDecodeNeverPanics(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f, err := decodeFrame(rapid.SliceOf(rapid.Byte()).Draw(t, "data"))
@@ -109,9 +111,9 @@
 	})
 }
 
-// Guards against a memory of crash reports that grows without bound or forgets the latest.
-func TestSeenIsBounded(t *testing.T) {
-	s := seen[int]{bound: 3}
+// Guards against a set of seen crash reports that grows without bound or evicts the latest ones.
+func TestBoundedSetEvictsOldest(t *testing.T) {
+	s := boundedSet[int]{capacity: 3}
 	for i := range 10 {
 		require.True(t, s.add(i))
 		require.False(t, s.add(i))
--- a/control/handle.go
+++ b/control/handle.go
@@ -8,122 +8,123 @@
 	"lovagelane/quarantine"
 )
 
-// handle takes one frame of a peer.
-func (c *Control) handle(p *peer, f Frame) {
+// handleFrame processes one frame from a peer.
+func (c *Control) handleFrame(p *peer, f Frame) {
 	switch f := f.(type) {
 	case heartbeat:
-		c.peerHolds(p, f.Held)
+		c.recordPeerVersion(p, f.ConfigVersion)
 	case announce:
-		c.takeMembers(p, f.Members, true)
+		c.mergeMembers(p, f.Members, true)
 	case suspect:
-		c.takeMarks(p, f.Marks)
+		c.mergeMarks(p, f.Marks)
 	case digest:
-		c.answerDigest(p, membership.Digest(f.Parts))
+		c.handleDigest(p, membership.Digest(f.Buckets))
 	case diff:
-		c.takeDiff(p, f)
-	case notice:
-		c.peerHolds(p, f.Version)
-	case pull:
-		c.answerPull(p, f.Version)
-	case text:
-		c.takeText(p, f)
+		c.handleDiff(p, f)
+	case configNotice:
+		c.recordPeerVersion(p, f.Version)
+	case configPull:
+		c.handleConfigPull(p, f.Version)
+	case configText:
+		c.handleConfigText(p, f)
 	case crash:
-		c.takeCrash(p, f.Reports)
+		c.handleCrash(p, f.Reports)
 	case hello:
-		// A second hello carries nothing but the announcement.
-		c.takeMembers(p, []membership.Member{f.Member}, true)
+		// Only the announcement of a repeated hello is used.
+		c.mergeMembers(p, []membership.Member{f.Member}, true)
 	}
 }
 
 func (c *Control) hello() hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return hello{Member: c.view.Self(), Held: c.adopter.Held()}
+	return hello{Member: c.view.Self(), ConfigVersion: c.adopter.Held()}
 }
 
-// refusesPeer reports whether another member than the wanted one answered at an address, and removes the wanted one then.
-func (c *Control) refusesPeer(p *peer, h hello, want string) bool {
+// rejectWrongPeer reports whether the peer is this node itself or another member than the wanted one. If another member
+// answers, it removes the wanted one from the view.
+func (c *Control) rejectWrongPeer(p *peer, h hello, wantID string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h.Member.ID == c.view.Self().ID {
 		c.ownSeeds[p.address] = true
 		return true
 	}
-	if want == "" || want == h.Member.ID {
+	if wantID == "" || wantID == h.Member.ID {
 		return false
 	}
-	if c.view.Remove(c.now(), want) {
-		c.pending[want] = nil
+	if c.view.Remove(c.now(), wantID) {
+		c.pendingFlood[wantID] = nil
 	}
 	c.merge(p, h.Member, true)
 	return true
 }
 
-// welcome takes a greeted connection into use. The side that dialled starts the comparison of the views.
-func (c *Control) welcome(p *peer, h hello) {
+// addPeer registers a connection after the hello exchange. The side that dialed starts anti-entropy by sending its digest.
+func (c *Control) addPeer(p *peer, h hello) {
 	c.mu.Lock()
 	c.peers[p] = struct{}{}
-	c.correct(p, h.Member)
+	c.sendCorrections(p, h.Member)
 	c.merge(p, h.Member, true)
 	c.sendRecentCrashes(p)
 	if p.outgoing {
 		p.send(digestFrame(c.view.Digest()))
 	}
 	c.mu.Unlock()
-	c.peerHolds(p, h.Held)
+	c.recordPeerVersion(p, h.ConfigVersion)
 	signal(c.changed)
 }
 
-func (c *Control) farewell(p *peer) {
+func (c *Control) removePeer(p *peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.peers, p)
-	delete(c.crashes, p)
+	delete(c.pendingCrashes, p)
 }
 
-// merge takes an announcement into the view and queues it for flooding; the caller holds the lock.
+// merge merges an announcement into the view and, if flood is set, queues it for flooding. The caller must hold c.mu.
 func (c *Control) merge(p *peer, m membership.Member, flood bool) {
 	if !c.view.Merge(c.now(), m) {
 		return
 	}
 	if flood {
-		c.pending[m.ID] = p
+		c.pendingFlood[m.ID] = p
 	}
 }
 
-// correct tells a peer what it lacks about a member; the caller holds the lock.
-func (c *Control) correct(p *peer, m membership.Member) {
-	if later := c.view.Corrections(m); len(later) > 0 {
-		p.send(announce{Members: later})
+// sendCorrections sends a peer the later announcements that supersede m. The caller must hold c.mu.
+func (c *Control) sendCorrections(p *peer, m membership.Member) {
+	if corrections := c.view.Corrections(m); len(corrections) > 0 {
+		p.send(announce{Members: corrections})
 	}
 }
 
-func (c *Control) takeMembers(p *peer, members []membership.Member, flood bool) {
+func (c *Control) mergeMembers(p *peer, members []membership.Member, flood bool) {
 	c.mu.Lock()
-	left := false
+	peerLeft := false
 	for _, m := range members {
 		c.merge(p, m, flood)
-		left = left || m.ID == p.id && m.State == membership.StateLeft
+		peerLeft = peerLeft || m.ID == p.id && m.State == membership.StateLeft
 	}
 	c.mu.Unlock()
 	signal(c.changed)
-	if left {
+	if peerLeft {
 		p.cancel(errUnwanted)
 	}
 }
 
-func (c *Control) takeMarks(p *peer, marks []membership.Mark) {
+func (c *Control) mergeMarks(p *peer, marks []membership.Mark) {
 	c.mu.Lock()
 	for _, k := range marks {
 		if c.view.MergeMark(c.now(), k) {
-			c.pending[k.ID] = p
+			c.pendingFlood[k.ID] = p
 		}
 	}
 	c.mu.Unlock()
 	signal(c.changed)
 }
 
-func digestFrame(d membership.Digest) digest { return digest{Parts: d[:]} }
+func digestFrame(d membership.Digest) digest { return digest{Buckets: d[:]} }
 
 func (c *Control) sendDigests() {
 	c.mu.Lock()
@@ -136,74 +137,74 @@
 	}
 }
 
-func (c *Control) answerDigest(p *peer, d membership.Digest) {
+func (c *Control) handleDigest(p *peer, d membership.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	members, parts := c.view.Differing(d)
+	members, buckets := c.view.Differing(d)
 	lists := chunks(members, membersPerFrame)
 	for i, list := range lists {
-		p.send(diff{Parts: parts, Members: list, Last: i == len(lists)-1})
+		p.send(diff{Buckets: buckets, Members: list, Last: i == len(lists)-1})
 	}
 	if len(lists) == 0 {
-		p.send(diff{Parts: parts, Last: true})
+		p.send(diff{Buckets: buckets, Last: true})
 	}
 }
 
-// takeDiff merges the members of a peer. After the last part it sends back what the peer lacks. A node that joins does not
-// flood what it learns, because all others know it already.
-func (c *Control) takeDiff(p *peer, f diff) {
+// handleDiff merges the members in a diff. After the last frame it sends the members that the peer lacks. A joining node does
+// not flood the members that it learns, because all others already know them.
+func (c *Control) handleDiff(p *peer, f diff) {
 	c.mu.Lock()
 	joined := c.synced
 	for _, m := range f.Members {
-		c.correct(p, m)
+		c.sendCorrections(p, m)
 		c.merge(p, m, joined)
 	}
-	if p.diffed == nil {
-		p.diffed = map[string]struct{}{}
+	if p.diffIDs == nil {
+		p.diffIDs = map[string]struct{}{}
 	}
 	for _, m := range f.Members {
-		p.diffed[m.ID] = struct{}{}
+		p.diffIDs[m.ID] = struct{}{}
 	}
 	if f.Last {
-		c.sendLacking(p, f.Parts)
-		c.synced, p.synced, p.diffed = true, true, nil
+		c.sendMissing(p, f.Buckets)
+		c.synced, p.synced, p.diffIDs = true, true, nil
 	}
 	c.mu.Unlock()
 	signal(c.changed)
 }
 
-// sendLacking sends the members of the parts that the peer did not name; the caller holds the lock.
-func (c *Control) sendLacking(p *peer, parts []int) {
-	var lacking []membership.Member
-	for _, m := range c.view.InParts(parts) {
-		if _, ok := p.diffed[m.ID]; !ok {
-			lacking = append(lacking, m)
+// sendMissing sends the members of the buckets that the peer did not list in its diff. The caller must hold c.mu.
+func (c *Control) sendMissing(p *peer, buckets []int) {
+	var missing []membership.Member
+	for _, m := range c.view.InParts(buckets) {
+		if _, ok := p.diffIDs[m.ID]; !ok {
+			missing = append(missing, m)
 		}
 	}
-	for _, list := range chunks(lacking, membersPerFrame) {
+	for _, list := range chunks(missing, membersPerFrame) {
 		p.send(announce{Members: list})
 	}
 }
 
 type recentCrash struct {
-	report quarantine.Report
-	at     time.Time
+	report     quarantine.Report
+	receivedAt time.Time
 }
 
-// queueCrash queues a new report for flooding and for peers that connect later; the caller holds the lock.
+// queueCrash queues a new report for flooding and for peers that connect later. The caller must hold c.mu.
 func (c *Control) queueCrash(origin *peer, r quarantine.Report) {
-	c.crashes[origin] = append(c.crashes[origin], r)
-	if len(c.recent) == recentCrashes {
-		c.recent = slices.Delete(c.recent, 0, 1)
+	c.pendingCrashes[origin] = append(c.pendingCrashes[origin], r)
+	if len(c.recentCrashes) == maxRecentCrashes {
+		c.recentCrashes = slices.Delete(c.recentCrashes, 0, 1)
 	}
-	c.recent = append(c.recent, recentCrash{report: r, at: c.now()})
+	c.recentCrashes = append(c.recentCrashes, recentCrash{report: r, receivedAt: c.now()})
 }
 
-// sendRecentCrashes tells a new peer the reports that may still matter; the caller holds the lock.
+// sendRecentCrashes sends a new peer the reports within recentCrashRetention. The caller must hold c.mu.
 func (c *Control) sendRecentCrashes(p *peer) {
 	var reports []quarantine.Report
-	for _, r := range c.recent {
-		if c.now().Sub(r.at) < recentSpan {
+	for _, r := range c.recentCrashes {
+		if c.now().Sub(r.receivedAt) < recentCrashRetention {
 			reports = append(reports, r.report)
 		}
 	}
@@ -212,12 +213,12 @@
 	}
 }
 
-func (c *Control) takeCrash(p *peer, reports []quarantine.Report) {
-	var fresh []quarantine.Report
+func (c *Control) handleCrash(p *peer, reports []quarantine.Report) {
+	var newReports []quarantine.Report
 	c.mu.Lock()
 	for _, r := range reports {
-		if c.seen.add(r) {
-			fresh = append(fresh, r)
+		if c.seenCrashes.add(r) {
+			newReports = append(newReports, r)
 			c.queueCrash(p, r)
 		}
 	}
@@ -226,23 +227,23 @@
 	if c.options.OnCrash == nil {
 		return
 	}
-	for _, r := range fresh {
+	for _, r := range newReports {
 		c.options.OnCrash(r)
 	}
 }
 
-// flush sends the announcements and doubts of the last interval; the caller holds the lock.
+// flush sends the announcements, suspicions and deaths of the last flood interval. The caller must hold c.mu.
 func (c *Control) flush() {
 	for p := range c.peers {
 		c.flushTo(p)
 	}
-	clear(c.pending)
+	clear(c.pendingFlood)
 }
 
 func (c *Control) flushTo(p *peer) {
 	var members []membership.Member
 	var marks []membership.Mark
-	for id, origin := range c.pending {
+	for id, origin := range c.pendingFlood {
 		m, ok := c.view.Get(id)
 		if !ok || origin == p {
 			continue
@@ -261,12 +262,12 @@
 	}
 }
 
-// flushCrashes sends new crash reports at once, since a caller may send the request again to another node within
-// milliseconds; the caller holds the lock.
+// flushCrashes sends new crash reports without waiting for the flood interval, because a caller may resend the request to
+// another node within milliseconds. The caller must hold c.mu.
 func (c *Control) flushCrashes() {
 	for p := range c.peers {
 		var reports []quarantine.Report
-		for origin, list := range c.crashes {
+		for origin, list := range c.pendingCrashes {
 			if origin != p {
 				reports = append(reports, list...)
 			}
@@ -275,5 +276,5 @@
 			p.send(crash{Reports: list})
 		}
 	}
-	clear(c.crashes)
+	clear(c.pendingCrashes)
 }
--- a/control/helper_test.go
+++ b/control/helper_test.go
@@ -23,7 +23,7 @@
 	"lovagelane/tablestore"
 )
 
-// testKeys is one self-signed certificate that both sides show and trust.
+// testKeys holds a self-signed certificate that both sides present and trust.
 type testKeys struct {
 	certificate tls.Certificate
 	pool        *x509.CertPool
@@ -34,10 +34,10 @@
 	if err != nil {
 		panic(err)
 	}
-	return keysOf(key)
+	return selfSignedKeys(key)
 })
 
-func keysOf(key *ecdsa.PrivateKey) testKeys {
+func selfSignedKeys(key *ecdsa.PrivateKey) testKeys {
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
 		NotBefore:             time.Now().Add(-time.Hour),
@@ -74,57 +74,57 @@
 	}
 }
 
-// quick is about ten times faster than operation.
-func quick(keys tlsSource) tuning {
+// fastTuning shortens most intervals of defaultTuning, about tenfold.
+func fastTuning(keys tlsSource) tuning {
 	t := defaultTuning()
-	t.heartbeat, t.silence, t.dial = 100*time.Millisecond, time.Second, time.Second
-	t.flood, t.digest, t.suspicion = 10*time.Millisecond, 300*time.Millisecond, 700*time.Millisecond
-	t.renew, t.list, t.poll = 300*time.Millisecond, 300*time.Millisecond, 200*time.Millisecond
-	t.seedRetry, t.seedCheck = 50*time.Millisecond, 300*time.Millisecond
-	t.backoffMin, t.backoffMax, t.dialGap = 20*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond
-	t.refuteGap, t.pullWait, t.storeWait = 50*time.Millisecond, 500*time.Millisecond, time.Second
+	t.heartbeatInterval, t.silenceTimeout, t.dialTimeout = 100*time.Millisecond, time.Second, time.Second
+	t.floodInterval, t.digestInterval, t.suspicionTimeout = 10*time.Millisecond, 300*time.Millisecond, 700*time.Millisecond
+	t.renewInterval, t.listInterval, t.pollInterval = 300*time.Millisecond, 300*time.Millisecond, 200*time.Millisecond
+	t.seedRetryDelay, t.seedCheckInterval = 50*time.Millisecond, 300*time.Millisecond
+	t.backoffMin, t.backoffMax, t.dialInterval = 20*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond
+	t.refuteInterval, t.pullTimeout, t.storeTimeout = 50*time.Millisecond, 500*time.Millisecond, time.Second
 	t.tls = keys
 	return t
 }
 
-// node is a Control with what its callbacks reported.
-type node struct {
+// testNode is a Control that records the arguments of its callbacks.
+type testNode struct {
 	*Control
 	mu       sync.Mutex
 	versions []uint64
 	crashes  []quarantine.Report
 }
 
-func (n *node) inForceVersions() []uint64 {
+func (n *testNode) inForceVersions() []uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]uint64(nil), n.versions...)
 }
 
-func (n *node) crashReports() []quarantine.Report {
+func (n *testNode) crashReports() []quarantine.Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]quarantine.Report(nil), n.crashes...)
 }
 
-type place struct {
+type nodeOptions struct {
 	id, region, listen, control string
 	seeds                       []string
 	store                       tablestore.Store
 	maxInbound                  int
 }
 
-func startNode(t testing.TB, p place) *node {
+func startNode(t testing.TB, p nodeOptions) *testNode {
 	t.Helper()
-	n := &node{}
-	tuned := quick(sharedKeys())
+	n := &testNode{}
+	tuned := fastTuning(sharedKeys())
 	tuned.store = p.store
 	if p.maxInbound > 0 {
 		tuned.maxInbound = p.maxInbound
 	}
 	c, err := start(context.Background(), Options{
 		Self:   membership.Member{ID: p.id, Service: "maps", Region: p.region, AvailabilityZone: p.region + "-1", Control: p.control},
-		Listen: orLoopback(p.listen),
+		Listen: listenOrLoopback(p.listen),
 		Seeds:  p.seeds,
 		Rand:   kernel.NewRand(uint64(len(p.id)) + uint64(time.Now().UnixNano())),
 		OnConfig: func(cfg *inventory.Config) {
@@ -144,21 +144,21 @@
 	return n
 }
 
-func orLoopback(listen string) string {
+func listenOrLoopback(listen string) string {
 	if listen == "" {
 		return "127.0.0.1:0"
 	}
 	return listen
 }
 
-// startNodes starts n nodes in two regions, where all join by the first two.
-func startNodes(t testing.TB, n int, store tablestore.Store) []*node {
+// startNodes starts n nodes in two regions. The first two are the seeds of the nodes after them.
+func startNodes(t testing.TB, n int, store tablestore.Store) []*testNode {
 	t.Helper()
-	var nodes []*node
+	var nodes []*testNode
 	var seeds []string
 	for i := range n {
 		region := []string{"rn", "ce"}[i%2]
-		nodes = append(nodes, startNode(t, place{id: fmt.Sprintf("n%02d", i), region: region, seeds: seeds, store: store}))
+		nodes = append(nodes, startNode(t, nodeOptions{id: fmt.Sprintf("n%02d", i), region: region, seeds: seeds, store: store}))
 		if i < 2 {
 			seeds = append(seeds, nodes[i].Address())
 		}
@@ -166,17 +166,17 @@
 	return nodes
 }
 
-// eventually waits for an event; the deadline only ends a test that has failed.
+// eventually polls until ok returns true and fails the test after 30 s.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			require.FailNow(t, "did not happen: "+what)
+			require.FailNow(t, "timed out waiting for: "+what)
 		}
 	}
 }
 
-func allSee(nodes []*node, members int) func() bool {
+func allSee(nodes []*testNode, members int) func() bool {
 	return func() bool {
 		for _, n := range nodes {
 			if len(n.Members()) != members-1 {
@@ -187,7 +187,7 @@
 	}
 }
 
-func allRun(nodes []*node, version uint64) func() bool {
+func allInForce(nodes []*testNode, version uint64) func() bool {
 	return func() bool {
 		for _, n := range nodes {
 			if v := n.inForceVersions(); len(v) == 0 || v[len(v)-1] != version {
--- a/control/idle_test.go
+++ b/control/idle_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// settleSpan lets the handshakes' memory and work end first.
+	// settleSpan excludes the memory and work of the handshakes from the measurement.
 	settleSpan = 2 * time.Second
 	idleSpan   = 10 * time.Second
 )
 
-// BenchmarkIdleConnections measures heap, stacks and processor time of idle control connections with a heartbeat each
-// second. Both ends run in this process, so the figures count a connection with its two ends.
+// BenchmarkIdleConnections measures heap, stacks and CPU time of idle control connections with a heartbeat each second. Both
+// ends run in this process, so the figures include both ends of each connection.
 func BenchmarkIdleConnections(b *testing.B) {
 	for _, connections := range []int{0, 50, 100} {
 		b.Run(fmt.Sprint(connections), func(b *testing.B) {
@@ -59,19 +59,19 @@
 	require.NoError(b, caller.abort())
 }
 
-// idleNode runs with the intervals of operation, except for the dial rate and the bound on inbound connections.
+// idleNode starts a node with defaultTuning, except for the dial rate and the limit on inbound connections.
 func idleNode(b *testing.B, id string) *Control {
 	t := defaultTuning()
-	t.tls, t.dialGap, t.maxInbound = sharedKeys(), time.Millisecond, 1000
+	t.tls, t.dialInterval, t.maxInbound = sharedKeys(), time.Millisecond, 1000
 	c, err := start(context.Background(), Options{
-		// The two are in different regions, so that one link and no ring adds to the connections.
+		// The two nodes are in different regions, so that only one link and no ring connections are added.
 		Self: membership.Member{ID: id, Region: id}, Listen: "127.0.0.1:0",
 	}, t)
 	require.NoError(b, err)
 	return c
 }
 
-// bytesSent counts what QUIC sent on all connections of a node, without UDP and IP headers.
+// bytesSent returns the bytes that QUIC sent on all open connections of a node, without UDP and IP headers.
 func bytesSent(c *Control) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/pace.go
+++ b/control/pace.go
@@ -8,7 +8,7 @@
 	"lovagelane/kernel"
 )
 
-// sleep waits and reports false when ctx ended first.
+// sleep waits for d and reports false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -20,53 +20,53 @@
 	}
 }
 
-// pacer spaces the dials of this node.
+// pacer limits the rate of dials of this node.
 type pacer struct {
-	gap  time.Duration
-	rand *kernel.Rand
+	interval time.Duration
+	rand     *kernel.Rand
 
-	mu   sync.Mutex
-	next time.Time
+	mu       sync.Mutex
+	nextDial time.Time
 }
 
-// wait returns when the next dial may start; it reports false when ctx ended first.
+// wait blocks until the next dial may start; it reports false if ctx ended first.
 func (p *pacer) wait(ctx context.Context) bool {
 	now := time.Now()
 	p.mu.Lock()
-	slot := p.next
-	if slot.Before(now) {
-		slot = now
+	start := p.nextDial
+	if start.Before(now) {
+		start = now
 	}
-	p.next = slot.Add(p.gap + p.gap - p.rand.Jitter(p.gap, 0.5))
+	p.nextDial = start.Add(p.interval + p.interval - p.rand.Jitter(p.interval, 0.5))
 	p.mu.Unlock()
-	return sleep(ctx, slot.Sub(now))
+	return sleep(ctx, start.Sub(now))
 }
 
-// backoff grows the pause between attempts with each failure.
+// backoff doubles the delay between attempts, from min up to max.
 type backoff struct {
 	min, max time.Duration
 	rand     *kernel.Rand
-	current  time.Duration
+	delay    time.Duration
 }
 
-func (b *backoff) reset() { b.current = 0 }
+func (b *backoff) reset() { b.delay = 0 }
 
-// next returns the pause before the next attempt, of which up to half is random.
-func (b *backoff) next() time.Duration {
-	b.current = min(max(2*b.current, b.min), b.max)
-	return b.rand.Jitter(b.current, 0.5)
+// nextDelay returns the delay before the next attempt, with jitter of up to half of it.
+func (b *backoff) nextDelay() time.Duration {
+	b.delay = min(max(2*b.delay, b.min), b.max)
+	return b.rand.Jitter(b.delay, 0.5)
 }
 
-// seen remembers the latest items up to a bound; the caller serializes access to it.
-type seen[T comparable] struct {
-	items map[T]struct{}
-	order []T
-	next  int
-	bound int
+// boundedSet holds the latest items up to its capacity. It is not safe for concurrent use.
+type boundedSet[T comparable] struct {
+	items    map[T]struct{}
+	order    []T
+	oldest   int
+	capacity int
 }
 
-// add reports whether the item is new, and forgets the oldest one when there are too many.
-func (s *seen[T]) add(item T) bool {
+// add adds an item, evicts the oldest one if the set is full, and reports whether the item was new.
+func (s *boundedSet[T]) add(item T) bool {
 	if _, ok := s.items[item]; ok {
 		return false
 	}
@@ -74,12 +74,12 @@
 		s.items = map[T]struct{}{}
 	}
 	s.items[item] = struct{}{}
-	if len(s.order) < s.bound {
+	if len(s.order) < s.capacity {
 		s.order = append(s.order, item)
 		return true
 	}
-	delete(s.items, s.order[s.next])
-	s.order[s.next] = item
-	s.next = (s.next + 1) % s.bound
+	delete(s.items, s.order[s.oldest])
+	s.order[s.oldest] = item
+	s.oldest = (s.oldest + 1) % s.capacity
 	return true
 }
--- a/control/peer.go
+++ b/control/peer.go
@@ -13,7 +13,7 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Codes with which a connection is closed.
+// Application error codes of closed connections.
 const (
 	codeStopped quic.ApplicationErrorCode = iota
 	codeBusy
@@ -24,49 +24,49 @@
 
 var (
 	errSilent   = errors.New("no heartbeat")
-	errUnwanted = errors.New("connection no longer wanted")
+	errUnwanted = errors.New("connection not needed")
 	errOverflow = errors.New("peer reads too slowly")
 	errBusy     = errors.New("peer has too many connections")
 )
 
-// peer is one connection with another node.
+// peer is a control connection to another node.
 type peer struct {
-	c        *Control
+	control  *Control
 	conn     *quic.Conn
 	stream   *quic.Stream
 	id       string
 	address  string
 	outgoing bool
-	// seed means that the connection only serves to join.
-	seed   bool
-	since  time.Time
-	queue  chan Frame
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	heard  atomic.Int64
+	// seed marks a connection to a seed address, which is closed once the rings provide other peers.
+	seed         bool
+	since        time.Time
+	queue        chan Frame
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	lastReceived atomic.Int64
 
-	// synced means that the peer has answered a digest; guarded by Control.mu.
+	// synced is set once the peer has answered a digest; guarded by Control.mu.
 	synced bool
-	// diffed holds the members that the peer named in a diff whose last part is still to come; guarded by Control.mu.
-	diffed map[string]struct{}
+	// diffIDs holds the ids of the members in the frames so far of an incomplete diff; guarded by Control.mu.
+	diffIDs map[string]struct{}
 
-	sent, received uint64
+	sentBytes, receivedBytes uint64
 }
 
 func (c *Control) newPeer(ctx context.Context, conn *quic.Conn, stream *quic.Stream) *peer {
 	p := &peer{
-		c:       c,
+		control: c,
 		conn:    conn,
 		stream:  stream,
 		address: conn.RemoteAddr().String(),
 		since:   c.now(),
-		queue:   make(chan Frame, queuedFrames),
+		queue:   make(chan Frame, maxQueuedFrames),
 	}
 	p.ctx, p.cancel = context.WithCancelCause(ctx)
 	return p
 }
 
-// send queues a frame. It never blocks: a peer whose queue is full is disconnected.
+// send queues a frame without blocking. It disconnects a peer whose queue is full.
 func (p *peer) send(f Frame) {
 	select {
 	case p.queue <- f:
@@ -75,15 +75,15 @@
 	}
 }
 
-// Read reads from the stream and fails when the peer has been silent for too long. Any received byte counts, so that a
-// long frame on a slow path is no silence.
+// Read reads from the stream and returns errSilent if nothing arrives within the silence timeout. Each received byte restarts
+// the timeout, so that a long frame on a slow path does not count as silence.
 func (p *peer) Read(b []byte) (int, error) {
-	if err := p.stream.SetReadDeadline(time.Now().Add(p.c.tuning.silence)); err != nil {
+	if err := p.stream.SetReadDeadline(time.Now().Add(p.control.tuning.silenceTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := p.stream.Read(b)
 	if n > 0 {
-		p.heard.Store(p.c.now().UnixNano())
+		p.lastReceived.Store(p.control.now().UnixNano())
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		err = errSilent
@@ -96,16 +96,16 @@
 	if err != nil {
 		return err
 	}
-	if err := p.stream.SetWriteDeadline(time.Now().Add(p.c.tuning.silence)); err != nil {
+	if err := p.stream.SetWriteDeadline(time.Now().Add(p.control.tuning.silenceTimeout)); err != nil {
 		return err
 	}
 	_, err = p.stream.Write(data)
 	return err
 }
 
-// writeLoop sends queued frames and heartbeats until the connection ends.
+// writeLoop writes queued frames and heartbeats until the connection ends.
 func (p *peer) writeLoop(context.Context) error {
-	ticker := time.NewTicker(p.c.tuning.heartbeat)
+	ticker := time.NewTicker(p.control.tuning.heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		var err error
@@ -117,7 +117,7 @@
 		case f := <-p.queue:
 			err = p.write(f)
 		case <-ticker.C:
-			err = p.write(heartbeat{Held: p.c.heldVersion()})
+			err = p.write(heartbeat{ConfigVersion: p.control.loadedVersion()})
 			p.countBytes()
 		}
 		if err != nil {
@@ -126,26 +126,26 @@
 	}
 }
 
-// readLoop handles frames until the connection ends, and returns why it ended.
+// readLoop reads and handles frames until the connection ends, and returns the reason.
 func (p *peer) readLoop() error {
 	for {
 		f, err := readFrame(p)
 		switch {
 		case errors.Is(err, errUnknownKind):
-			p.c.metrics.Add("control-frames-unknown", 1)
+			p.control.metrics.Add("control-frames-unknown", 1)
 			continue
 		case errors.Is(err, errMalformed):
-			p.c.metrics.Add("control-frames-malformed", 1)
-			p.c.log.Warn("control-frame-malformed", "peer", p.id, "address", p.address, "error", err)
+			p.control.metrics.Add("control-frames-malformed", 1)
+			p.control.log.Warn("control-frame-malformed", "peer", p.id, "address", p.address, "error", err)
 			return err
 		case err != nil:
 			return err
 		}
-		p.c.handle(p, f)
+		p.control.handleFrame(p, f)
 	}
 }
 
-// close ends the connection with the code that tells the other side why.
+// close closes the connection with the error code for the reason.
 func (p *peer) close(reason error) {
 	code := codeStopped
 	switch {
@@ -159,17 +159,18 @@
 	_ = p.conn.CloseWithError(code, "")
 }
 
-// countBytes adds what QUIC sent and received since the last call; only the write loop and the end of serve call it.
+// countBytes adds the bytes that QUIC sent and received since the last call to the metrics. It is not safe for concurrent
+// use: writeLoop calls it, and serve after writeLoop has ended.
 func (p *peer) countBytes() {
 	stats := p.conn.ConnectionStats()
-	p.c.metrics.Add("control-bytes-sent", int64(stats.BytesSent-p.sent))
-	p.c.metrics.Add("control-bytes-received", int64(stats.BytesReceived-p.received))
-	p.sent, p.received = stats.BytesSent, stats.BytesReceived
+	p.control.metrics.Add("control-bytes-sent", int64(stats.BytesSent-p.sentBytes))
+	p.control.metrics.Add("control-bytes-received", int64(stats.BytesReceived-p.receivedBytes))
+	p.sentBytes, p.receivedBytes = stats.BytesSent, stats.BytesReceived
 }
 
-// greet exchanges the hello frames.
-func (p *peer) greet() (hello, error) {
-	if err := p.write(p.c.hello()); err != nil {
+// exchangeHello sends this node's hello and reads the peer's.
+func (p *peer) exchangeHello() (hello, error) {
+	if err := p.write(p.control.hello()); err != nil {
 		return hello{}, err
 	}
 	f, err := readFrame(p)
@@ -184,20 +185,20 @@
 	return h, nil
 }
 
-// serve runs a connection after the greeting until it ends, and returns why.
+// serve runs a connection after the hello exchange until it ends, and returns the reason.
 func (p *peer) serve(h hello) error {
-	// Closing the connection also ends a write that waits for a slow peer.
+	// Closing the connection also aborts a write that is blocked on a slow peer.
 	stop := context.AfterFunc(p.ctx, func() { p.close(context.Cause(p.ctx)) })
 	defer stop()
 	done := make(chan struct{})
-	p.c.group.Go("control-write", func(ctx context.Context) error {
+	p.control.group.Go("control-write", func(ctx context.Context) error {
 		defer close(done)
 		return p.writeLoop(ctx)
 	})
-	p.c.welcome(p, h)
+	p.control.addPeer(p, h)
 	err := p.readLoop()
 	p.cancel(err)
-	p.c.farewell(p)
+	p.control.removePeer(p)
 	<-done
 	p.countBytes()
 	if cause := context.Cause(p.ctx); cause != nil && !errors.Is(cause, context.Canceled) {
@@ -206,44 +207,44 @@
 	return err
 }
 
-// dialed is what a dial and the connection after it came to.
-type dialed struct {
-	// established means that the peer answered with its hello.
+// dialResult is the outcome of a dial and of the connection that it opened.
+type dialResult struct {
+	// established is set if the hello exchange succeeded and the connection was served.
 	established bool
-	// answered means that the peer is alive although it did not take the connection.
-	answered bool
-	lasted   time.Duration
-	err      error
+	// reachable is set if the address answered but the connection was rejected by either side.
+	reachable bool
+	duration  time.Duration
+	err       error
 }
 
-// connect dials an address and serves the connection until it ends. With want it checks who answers.
-func (c *Control) connect(ctx context.Context, address, want string, seed bool) dialed {
+// connect dials an address and serves the connection until it ends. If wantID is set, it rejects a peer with another id.
+func (c *Control) connect(ctx context.Context, address, wantID string, seed bool) dialResult {
 	if !c.pacer.wait(ctx) {
-		return dialed{err: ctx.Err()}
+		return dialResult{err: ctx.Err()}
 	}
 	c.metrics.Add("control-dials", 1)
-	p, h, err := c.open(ctx, address)
+	p, h, err := c.dial(ctx, address)
 	if err != nil {
 		var refused *quic.ApplicationError
 		if errors.As(err, &refused) && refused.Remote {
-			return dialed{answered: true, err: err}
+			return dialResult{reachable: true, err: err}
 		}
-		return dialed{err: err}
+		return dialResult{err: err}
 	}
 	p.outgoing, p.seed = true, seed
-	if c.refusesPeer(p, h, want) {
+	if c.rejectWrongPeer(p, h, wantID) {
 		p.cancel(errUnwanted)
 		p.close(errUnwanted)
-		return dialed{answered: true, err: errUnwanted}
+		return dialResult{reachable: true, err: errUnwanted}
 	}
 	err = p.serve(h)
-	return dialed{established: true, lasted: c.now().Sub(p.since), err: err}
+	return dialResult{established: true, duration: c.now().Sub(p.since), err: err}
 }
 
-func (c *Control) open(ctx context.Context, address string) (*peer, hello, error) {
-	ctxDial, cancel := context.WithTimeout(ctx, c.tuning.dial)
+func (c *Control) dial(ctx context.Context, address string) (*peer, hello, error) {
+	ctxDial, cancel := context.WithTimeout(ctx, c.tuning.dialTimeout)
 	defer cancel()
-	// Addresses are IP numbers, so that no name service can delay a dial.
+	// Addresses must be IP addresses, so that DNS cannot delay a dial.
 	remote, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, hello{}, err
@@ -258,7 +259,7 @@
 		return nil, hello{}, err
 	}
 	p := c.newPeer(ctx, conn, stream)
-	h, err := p.greet()
+	h, err := p.exchangeHello()
 	if err != nil {
 		p.cancel(err)
 		p.close(err)
@@ -267,7 +268,7 @@
 	return p, h, nil
 }
 
-// acceptLoop takes connections of other nodes up to a bound.
+// acceptLoop accepts connections from other nodes, up to maxInbound at a time.
 func (c *Control) acceptLoop(ctx context.Context) error {
 	for {
 		conn, err := c.listener.Accept(ctx)
@@ -277,22 +278,22 @@
 			}
 			return fmt.Errorf("control listener: %w", err)
 		}
-		if c.inbound.Add(1) > int64(c.tuning.maxInbound) {
-			c.inbound.Add(-1)
+		if c.inboundConns.Add(1) > int64(c.tuning.maxInbound) {
+			c.inboundConns.Add(-1)
 			c.metrics.Add("control-connections-refused", 1)
 			_ = conn.CloseWithError(codeBusy, errBusy.Error())
 			continue
 		}
 		c.group.Go("control-inbound", func(ctx context.Context) error {
-			defer c.inbound.Add(-1)
-			c.accept(ctx, conn)
+			defer c.inboundConns.Add(-1)
+			c.serveInbound(ctx, conn)
 			return nil
 		})
 	}
 }
 
-func (c *Control) accept(ctx context.Context, conn *quic.Conn) {
-	ctxAccept, cancel := context.WithTimeout(ctx, c.tuning.dial)
+func (c *Control) serveInbound(ctx context.Context, conn *quic.Conn) {
+	ctxAccept, cancel := context.WithTimeout(ctx, c.tuning.dialTimeout)
 	stream, err := conn.AcceptStream(ctxAccept)
 	cancel()
 	if err != nil {
@@ -300,7 +301,7 @@
 		return
 	}
 	p := c.newPeer(ctx, conn, stream)
-	h, err := p.greet()
+	h, err := p.exchangeHello()
 	if err == nil {
 		err = p.serve(h)
 	} else if errors.Is(err, errMalformed) {
@@ -312,15 +313,15 @@
 
 func (c *Control) quicConfig() *quic.Config {
 	return &quic.Config{
-		HandshakeIdleTimeout:           c.tuning.dial,
-		MaxIdleTimeout:                 4 * c.tuning.silence,
+		HandshakeIdleTimeout:           c.tuning.dialTimeout,
+		MaxIdleTimeout:                 4 * c.tuning.silenceTimeout,
 		InitialStreamReceiveWindow:     maxFrameBytes,
-		MaxStreamReceiveWindow:         2 * maxTextFrameBytes,
+		MaxStreamReceiveWindow:         2 * maxConfigFrameBytes,
 		InitialConnectionReceiveWindow: maxFrameBytes,
-		MaxConnectionReceiveWindow:     2 * maxTextFrameBytes,
+		MaxConnectionReceiveWindow:     2 * maxConfigFrameBytes,
 		MaxIncomingStreams:             1,
 		MaxIncomingUniStreams:          -1,
-		// Probes for a larger packet size would cost more than the short frames of control could save.
+		// Control frames are short, so probes for a larger packet size would cost more than they save.
 		DisablePathMTUDiscovery: true,
 	}
 }
--- a/control/rings_test.go
+++ b/control/rings_test.go
@@ -16,18 +16,19 @@
 	"lovagelane/tablestore"
 )
 
-// Guards against groups of nodes that take their first configuration at the same time, see the others' announcements from
-// before it, which have no region, and leave them out of their rings for as long as the store does not help.
-func TestRingsTakeTheRegionFromTheConfiguration(t *testing.T) {
-	n := startNode(t, place{id: "self", region: "rn"})
+// Guards against rings that exclude members which announced themselves before they had a configuration, and so without a
+// region. When groups of nodes load their first configuration at the same time, they would exclude each other for as long as
+// the store is unavailable.
+func TestRingsUseConfiguredRegions(t *testing.T) {
+	n := startNode(t, nodeOptions{id: "self", region: "rn"})
 	body, err := rollout.Encode(configFiles())
 	require.NoError(t, err)
 	n.Control.mu.Lock()
 	n.view.Merge(n.now(), membership.Member{ID: "other", Counter: 1, Service: "maps", AvailabilityZone: "rn-1",
 		Control: "127.0.0.1:1", State: membership.StateStarting})
 	n.Control.mu.Unlock()
-	n.hold(1, rollout.Hash(body), body)
-	eventually(t, "the member is watched", func() bool {
+	n.loadConfig(1, rollout.Hash(body), body)
+	eventually(t, "the node has a watcher for the member", func() bool {
 		n.Control.mu.Lock()
 		defer n.Control.mu.Unlock()
 		_, watched := n.watchers["other"]
@@ -43,9 +44,9 @@
 	}
 }
 
-// Guards against a listing of the whole table by every node each minute, and against nodes that nobody lists for.
+// Guards against every node listing the whole table each minute, and against regions in which no node lists it.
 func TestOnlyLinkNodesListOften(t *testing.T) {
-	n := startNode(t, place{id: "self", region: "rn"})
+	n := startNode(t, nodeOptions{id: "self", region: "rn"})
 	n.Control.mu.Lock()
 	for i := range 20 {
 		m := typicalMember(i)
@@ -53,31 +54,31 @@
 		n.view.Merge(n.now(), m)
 	}
 	rings := membership.NewRings(n.view.Live())
-	n.tuning.listRare = time.Hour
+	n.tuning.rareListInterval = time.Hour
 	n.rings = rings
 	n.Control.mu.Unlock()
 	listed := n.now()
-	require.True(t, n.listDue(listed), "a node without peers lists")
+	require.True(t, n.listDue(listed), "a node without peers must list")
 
-	often := 0
+	frequent := 0
 	for i := range 20 {
-		c := &Control{options: Options{Clock: kernel.SystemClock{}}, tuning: tuning{listRare: time.Hour}, rings: rings, synced: true,
-			view: membership.NewView(listed, typicalMember(i)), peers: map[*peer]struct{}{{}: {}}}
+		c := &Control{options: Options{Clock: kernel.SystemClock{}}, tuning: tuning{rareListInterval: time.Hour}, rings: rings,
+			synced: true, view: membership.NewView(listed, typicalMember(i)), peers: map[*peer]struct{}{{}: {}}}
 		if c.listDue(listed) {
-			often++
+			frequent++
 		}
-		require.True(t, c.listDue(listed.Add(-time.Hour)), "each node lists now and then")
+		require.True(t, c.listDue(listed.Add(-time.Hour)), "each node must list at rareListInterval")
 	}
-	require.LessOrEqual(t, often, membership.LinkNodes)
-	require.GreaterOrEqual(t, often, membership.LinkNodes-1, "the own node may be one of them")
+	require.LessOrEqual(t, frequent, membership.LinkNodes)
+	require.GreaterOrEqual(t, frequent, membership.LinkNodes-1, "node self may be one of the link nodes")
 }
 
-// Guards against a write for each of the changes that a node goes through at its start, which would exceed the writes that
-// the store takes when an availability zone starts at once.
-func TestChangesOfStateShareAWrite(t *testing.T) {
+// Guards against a separate write for each state change of a starting node. When all nodes of an availability zone start at
+// once, these writes would exceed the write rate of the store.
+func TestStateChangesAreBatchedInOneWrite(t *testing.T) {
 	store := newMemoryStore()
 	tuned := defaultTuning()
-	tuned.tls, tuned.store, tuned.gather = sharedKeys(), store, 300*time.Millisecond
+	tuned.tls, tuned.store, tuned.maxWriteDelay = sharedKeys(), store, 300*time.Millisecond
 	c, err := start(context.Background(), Options{Self: typicalMember(1), Listen: "127.0.0.1:0"}, tuned)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.abort() })
@@ -86,7 +87,7 @@
 		require.NoError(t, err)
 		return row.Version
 	}
-	eventually(t, "the row is there", func() bool { return written() == 1 })
+	eventually(t, "the row is written", func() bool { return written() == 1 })
 	const changes = 20
 	for i := range changes {
 		c.SetState([]membership.State{membership.StateStarting, membership.StateServing}[i%2])
@@ -97,5 +98,5 @@
 		require.NoError(t, err)
 		return strings.Contains(row.Value, fmt.Sprintf(`"counter":%d,`, typicalMember(1).Counter+changes))
 	})
-	require.LessOrEqual(t, written(), uint64(changes/2), "each change was written")
+	require.LessOrEqual(t, written(), uint64(changes/2), "state changes were not batched")
 }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -24,7 +24,7 @@
 		State: membership.StateServing, Started: 1796378912754}
 }
 
-// BenchmarkFrameBytes reports the size of each kind of frame; a packet adds about 50 bytes of QUIC, UDP and IP.
+// BenchmarkFrameBytes reports the encoded size of each kind of frame. A packet adds about 50 bytes of QUIC, UDP and IP headers.
 func BenchmarkFrameBytes(b *testing.B) {
 	members := make([]membership.Member, membersPerFrame)
 	for i := range members {
@@ -40,15 +40,15 @@
 		name string
 		f    Frame
 	}{
-		{"hello", hello{Member: members[0], Held: 1000}},
-		{"heartbeat", heartbeat{Held: 1000}},
+		{"hello", hello{Member: members[0], ConfigVersion: 1000}},
+		{"heartbeat", heartbeat{ConfigVersion: 1000}},
 		{"announce-1", announce{Members: members[:1]}},
 		{"announce-64", announce{Members: members}},
 		{"suspect-1", suspect{Marks: []membership.Mark{{ID: members[0].ID, Counter: 3}}}},
 		{"digest", digestFrame(view.Digest())},
 		{"diff-equal", diff{Last: true}},
-		{"diff-one-part-of-590", diff{Parts: []int{17}, Members: members[:10], Last: true}},
-		{"notice", notice{Version: 1000, Hash: fmt.Sprintf("%064x", 1)}},
+		{"diff-one-part-of-590", diff{Buckets: []int{17}, Members: members[:10], Last: true}},
+		{"notice", configNotice{Version: 1000, Hash: fmt.Sprintf("%064x", 1)}},
 		{"crash-1", crash{Reports: []quarantine.Report{{Digest: 1 << 60, Crash: members[0].ID + "-1"}}}},
 	}
 	for _, f := range frames {
@@ -64,10 +64,10 @@
 	}
 }
 
-// BenchmarkStoreRequests measures the processor time of the polls, listings and renewals of one node. They run 50 times
-// as often as in operation, and the reported share is divided by that. The store runs in this process and is included.
+// BenchmarkStoreRequests measures the CPU time of the polls, listings and renewals of one node. They run 50 times as often as
+// with defaultTuning, and the reported share is divided by 50. The store runs in this process and is included.
 func BenchmarkStoreRequests(b *testing.B) {
-	const faster = 50
+	const speedup = 50
 	for _, enabled := range []bool{false, true} {
 		b.Run(fmt.Sprintf("store=%t", enabled), func(b *testing.B) {
 			for b.Loop() {
@@ -77,9 +77,9 @@
 				standin.NewPlatform(kernel.SystemClock{}).Serve(g, ln)
 				t := defaultTuning()
 				t.tls = sharedKeys()
-				t.poll, t.renew, t.list = t.poll/faster, t.renew/faster, t.list/faster
+				t.pollInterval, t.renewInterval, t.listInterval = t.pollInterval/speedup, t.renewInterval/speedup, t.listInterval/speedup
 				if enabled {
-					t.store, err = tablestore.NewClient("http://"+ln.Addr().String(), t.storeWait)
+					t.store, err = tablestore.NewClient("http://"+ln.Addr().String(), t.storeTimeout)
 					require.NoError(b, err)
 				}
 				c, err := start(context.Background(), Options{Self: typicalMember(1), Listen: "127.0.0.1:0"}, t)
@@ -89,7 +89,7 @@
 				time.Sleep(idleSpan)
 				share := 100 * float64(processorTime(b)-before) / float64(idleSpan)
 				if enabled {
-					share /= faster
+					share /= speedup
 				}
 				b.ReportMetric(share, "%core")
 				require.NoError(b, c.abort())
@@ -99,7 +99,7 @@
 	}
 }
 
-// BenchmarkPeriodicWork measures the tick of control on a view of the target size and of a larger one.
+// BenchmarkPeriodicWork measures Control.tick with a view of the target size and with a larger one.
 func BenchmarkPeriodicWork(b *testing.B) {
 	for _, size := range []int{590, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -117,8 +117,8 @@
 			c.mu.Unlock()
 			body, err := rollout.Encode(configFiles())
 			require.NoError(b, err)
-			c.hold(1, rollout.Hash(body), body)
-			// The tick with which the version takes force has more to do than the ones that follow.
+			c.loadConfig(1, rollout.Hash(body), body)
+			// The tick that puts the version in force does more work than the ticks after it.
 			eventually(b, "in force", func() bool { return c.Status().Version == 1 })
 			b.ReportAllocs()
 			for b.Loop() {
@@ -130,7 +130,7 @@
 	}
 }
 
-// BenchmarkListing measures a listing of the whole table: its bytes and the time to merge what is known already.
+// BenchmarkListing measures the size of a listing of the whole table and the time to merge it when all rows are known.
 func BenchmarkListing(b *testing.B) {
 	for _, size := range []int{590, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -142,7 +142,7 @@
 			for i := range size {
 				m := typicalMember(i + 1)
 				m.Control = fmt.Sprintf("127.0.1.%d:%d", i%250+1, i+1)
-				value, err := json.Marshal(announcement{Member: m, LeaseMillis: 120000})
+				value, err := json.Marshal(memberRow{Member: m, LeaseMillis: 120000})
 				require.NoError(b, err)
 				rows = append(rows, tablestore.Row{Key: m.ID, Value: string(value), Version: 3000, Revision: 1_800_000, AgeMillis: 12345})
 			}
@@ -151,7 +151,7 @@
 			for b.Loop() {
 				var read []tablestore.Row
 				require.NoError(b, json.Unmarshal(body, &read))
-				c.takeRows(read)
+				c.mergeRows(read)
 			}
 			b.ReportMetric(float64(len(body)), "B/listing")
 			b.StopTimer()
--- a/control/status.go
+++ b/control/status.go
@@ -8,61 +8,61 @@
 	"lovagelane/membership"
 )
 
-// PeerStatus describes one control connection.
+// PeerStatus describes a control connection.
 type PeerStatus struct {
-	ID       string    `json:"id"`
-	Address  string    `json:"address"`
-	Outgoing bool      `json:"outgoing"`
-	Since    time.Time `json:"since"`
-	Heard    time.Time `json:"heard"`
-	// Version is the configuration that the peer holds.
-	Version uint64 `json:"version"`
+	ID           string    `json:"id"`
+	Address      string    `json:"address"`
+	Outgoing     bool      `json:"outgoing"`
+	Since        time.Time `json:"since"`
+	LastReceived time.Time `json:"heard"`
+	// ConfigVersion is the configuration version that the peer has loaded.
+	ConfigVersion uint64 `json:"version"`
 }
 
-// StoreStatus describes what this node last got from the store.
+// StoreStatus describes the last results of this node's store requests.
 type StoreStatus struct {
-	// ConfigRead means that the store has answered which configuration is accepted since this node started.
+	// ConfigRead is set once the store has answered which configuration is accepted, since this node started.
 	ConfigRead bool      `json:"config-read"`
 	LastAnswer time.Time `json:"last-answer"`
 	Failures   uint64    `json:"failures"`
 	Error      string    `json:"error,omitempty"`
 }
 
-// Status is a snapshot for the admin page.
+// Status is a snapshot of a Control for the admin page.
 type Status struct {
 	Self    membership.Member   `json:"self"`
 	Members []membership.Member `json:"members"`
 	Peers   []PeerStatus        `json:"peers"`
-	// Joined means that a peer has compared its view with this node's.
+	// Joined is set once a peer has answered a digest of this node.
 	Joined bool `json:"joined"`
-	// Version is the configuration in force and InForceSince the time since when; 0 means none.
-	Version      uint64      `json:"version"`
-	Hash         string      `json:"hash"`
-	InForceSince time.Time   `json:"in-force-since"`
-	Held         uint64      `json:"held"`
-	Heard        uint64      `json:"heard"`
-	Store        StoreStatus `json:"store"`
+	// Version is the configuration version in force, or 0 if there is none.
+	Version        uint64      `json:"version"`
+	Hash           string      `json:"hash"`
+	InForceSince   time.Time   `json:"in-force-since"`
+	LoadedVersion  uint64      `json:"held"`
+	HighestVersion uint64      `json:"heard"`
+	Store          StoreStatus `json:"store"`
 }
 
-// Status returns a snapshot of members, peers, versions and the state of the store.
+// Status returns a snapshot of the members, peers, configuration versions and the store status.
 func (c *Control) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := Status{
-		Self:         c.view.Self(),
-		Members:      slices.Clone(c.others()),
-		Joined:       c.synced,
-		Version:      c.inForce.version,
-		Hash:         c.inForce.hash,
-		InForceSince: c.inForceAt,
-		Held:         c.adopter.Held(),
-		Heard:        c.adopter.Heard(),
-		Store:        c.storeState,
+		Self:           c.view.Self(),
+		Members:        slices.Clone(c.otherMembers()),
+		Joined:         c.synced,
+		Version:        c.inForce.version,
+		Hash:           c.inForce.hash,
+		InForceSince:   c.inForceAt,
+		LoadedVersion:  c.adopter.Held(),
+		HighestVersion: c.adopter.Heard(),
+		Store:          c.storeStatus,
 	}
 	for p := range c.peers {
 		s.Peers = append(s.Peers, PeerStatus{
 			ID: p.id, Address: p.address, Outgoing: p.outgoing, Since: p.since,
-			Heard: time.Unix(0, p.heard.Load()), Version: c.adopter.PeerHolds(p.id),
+			LastReceived: time.Unix(0, p.lastReceived.Load()), ConfigVersion: c.adopter.PeerHolds(p.id),
 		})
 	}
 	slices.SortFunc(s.Peers, func(a, b PeerStatus) int { return strings.Compare(a.ID+a.Address, b.ID+b.Address) })
@@ -76,7 +76,7 @@
 		membership.StateStarting: 0, membership.StateServing: 0, membership.StateDraining: 0,
 	}
 	suspected := int64(0)
-	for _, m := range c.others() {
+	for _, m := range c.otherMembers() {
 		states[m.State]++
 		if m.Suspected {
 			suspected++
--- a/control/store_test.go
+++ b/control/store_test.go
@@ -10,7 +10,7 @@
 
 var errDown = &tablestore.UnavailableError{Cause: errors.New("switched off")}
 
-// hangingStore never answers within the life of a test.
+// hangingStore is a memoryStore whose table requests block until their context ends.
 type hangingStore struct{ *memoryStore }
 
 func (hangingStore) Row(ctx context.Context, _, _ string) (tablestore.Row, bool, error) {
@@ -28,7 +28,7 @@
 	return tablestore.Commit{}, errDown
 }
 
-// memoryStore is the platform in memory, with a switch for an outage.
+// memoryStore is an in-memory store that can simulate an outage.
 type memoryStore struct {
 	mu       sync.Mutex
 	down     bool
--- a/control/tuning.go
+++ b/control/tuning.go
@@ -11,17 +11,17 @@
 
 const protocol = "lovagelane-control/1"
 
-// tlsSource is the part of keys.Keyring that control needs.
+// tlsSource provides the TLS settings of both sides of a connection; keys.Keyring implements it.
 type tlsSource interface {
 	Server(protocols ...string) *tls.Config
 	Client(protocols ...string) *tls.Config
 }
 
-// nodesOnly is a keyring whose servers refuse operators' keys, because a control peer may change the view of all nodes.
-type nodesOnly struct{ *keys.Keyring }
+// nodeOnlyKeyring rejects operators' keys on incoming connections, because a control peer can change the view of all nodes.
+type nodeOnlyKeyring struct{ *keys.Keyring }
 
-// Server returns the TLS settings of the keyring with the check of the role.
-func (n nodesOnly) Server(protocols ...string) *tls.Config {
+// Server returns the keyring's server settings with an additional check that the peer has the node role.
+func (n nodeOnlyKeyring) Server(protocols ...string) *tls.Config {
 	c := n.Keyring.Server(protocols...)
 	verify := c.VerifyConnection
 	c.VerifyConnection = func(s tls.ConnectionState) error {
@@ -36,85 +36,85 @@
 	return c
 }
 
-// tuning holds the intervals and bounds, so that tests can run faster than operation.
+// tuning holds the intervals, timeouts and limits, which tests shorten.
 type tuning struct {
-	heartbeat time.Duration
-	silence   time.Duration
-	dial      time.Duration
-	flood     time.Duration
-	digest    time.Duration
-	suspicion time.Duration
-	tombstone time.Duration
-	renew     time.Duration
-	lease     time.Duration
-	// gather is the longest time that a change of the own state waits before it is written to the store, for other changes
-	// and so that nodes which start together do not write together.
-	gather time.Duration
-	list   time.Duration
-	// listRare is the time between two listings of a node that hears of changes from its peers.
-	listRare   time.Duration
-	poll       time.Duration
-	seedRetry  time.Duration
-	seedCheck  time.Duration
-	backoffMin time.Duration
-	backoffMax time.Duration
-	// dialGap is the time between two dials of this node.
-	dialGap time.Duration
-	// stable is the age at which a connection counts as good, so that the back-off starts again.
-	stable     time.Duration
-	storeWait  time.Duration
-	stopWait   time.Duration
-	refuteGap  time.Duration
-	pullWait   time.Duration
-	maxInbound int
-	tls        tlsSource
+	heartbeatInterval  time.Duration
+	silenceTimeout     time.Duration
+	dialTimeout        time.Duration
+	floodInterval      time.Duration
+	digestInterval     time.Duration
+	suspicionTimeout   time.Duration
+	tombstoneRetention time.Duration
+	renewInterval      time.Duration
+	leaseDuration      time.Duration
+	// maxWriteDelay is the longest delay before a change of this node's state is written to the store. The delay batches
+	// further changes and is random, so that nodes that start together do not write at the same time.
+	maxWriteDelay time.Duration
+	listInterval  time.Duration
+	// rareListInterval is the time between two listings by a node that receives changes from its peers.
+	rareListInterval  time.Duration
+	pollInterval      time.Duration
+	seedRetryDelay    time.Duration
+	seedCheckInterval time.Duration
+	backoffMin        time.Duration
+	backoffMax        time.Duration
+	// dialInterval is the minimum time between two dials of this node; the pacer adds a random part of up to half of it.
+	dialInterval time.Duration
+	// stableDuration is how long a connection must last to reset the backoff.
+	stableDuration time.Duration
+	storeTimeout   time.Duration
+	stopTimeout    time.Duration
+	refuteInterval time.Duration
+	pullTimeout    time.Duration
+	maxInbound     int
+	tls            tlsSource
 	// store replaces the HTTP client in tests.
 	store tablestore.Store
 }
 
 func defaultTuning() tuning {
 	return tuning{
-		heartbeat:  time.Second,
-		silence:    3 * time.Second,
-		dial:       2 * time.Second,
-		flood:      100 * time.Millisecond,
-		digest:     10 * time.Second,
-		suspicion:  membership.SuspicionTimeout,
-		tombstone:  membership.TombstoneRetention,
-		renew:      30 * time.Second,
-		lease:      120 * time.Second,
-		gather:     2 * time.Second,
-		list:       time.Minute,
-		listRare:   15 * time.Minute,
-		poll:       8 * time.Second,
-		seedRetry:  200 * time.Millisecond,
-		seedCheck:  30 * time.Second,
-		backoffMin: 100 * time.Millisecond,
-		backoffMax: 5 * time.Second,
-		dialGap:    100 * time.Millisecond,
-		stable:     10 * time.Second,
-		storeWait:  3 * time.Second,
-		stopWait:   time.Second,
-		refuteGap:  500 * time.Millisecond,
-		pullWait:   2 * time.Second,
-		maxInbound: 64,
+		heartbeatInterval:  time.Second,
+		silenceTimeout:     3 * time.Second,
+		dialTimeout:        2 * time.Second,
+		floodInterval:      100 * time.Millisecond,
+		digestInterval:     10 * time.Second,
+		suspicionTimeout:   membership.SuspicionTimeout,
+		tombstoneRetention: membership.TombstoneRetention,
+		renewInterval:      30 * time.Second,
+		leaseDuration:      120 * time.Second,
+		maxWriteDelay:      2 * time.Second,
+		listInterval:       time.Minute,
+		rareListInterval:   15 * time.Minute,
+		pollInterval:       8 * time.Second,
+		seedRetryDelay:     200 * time.Millisecond,
+		seedCheckInterval:  30 * time.Second,
+		backoffMin:         100 * time.Millisecond,
+		backoffMax:         5 * time.Second,
+		dialInterval:       100 * time.Millisecond,
+		stableDuration:     10 * time.Second,
+		storeTimeout:       3 * time.Second,
+		stopTimeout:        time.Second,
+		refuteInterval:     500 * time.Millisecond,
+		pullTimeout:        2 * time.Second,
+		maxInbound:         64,
 	}
 }
 
 const (
-	jitter = 0.3
-	// queuedFrames bounds what waits for one slow peer; a peer that lags further is disconnected and catches up later.
-	queuedFrames = 512
-	// askedPeers is the number of peers that a node without configuration asks at a time.
-	askedPeers = 5
-	// lapsedLeases is the age, in leases, at which a row is deleted; a paused node writes its row again when it resumes.
-	lapsedLeases = 30
-	// lapsedRows bounds how many rows a starting node deletes.
-	lapsedRows = 8
-	// recentCrashes fit one frame.
-	recentCrashes = reportsPerFrame
-	// recentSpan is the time for which a request stays quarantined.
-	recentSpan = 10 * time.Minute
-	// seenCrashes bounds the memory of crash reports that were already passed on.
-	seenCrashes = 8192
+	jitterFraction = 0.3
+	// maxQueuedFrames bounds the send queue of a peer. A peer that falls further behind is disconnected and syncs on reconnect.
+	maxQueuedFrames = 512
+	// maxBootstrapPeers bounds the peers that a node without a configuration queries at the same time.
+	maxBootstrapPeers = 5
+	// expiredRowLeases is the age, in lease durations, after which a row is deleted. A paused node rewrites its row on resume.
+	expiredRowLeases = 30
+	// maxExpiredRowDeletes bounds the rows that a node deletes when it reads the whole table.
+	maxExpiredRowDeletes = 8
+	// maxRecentCrashes is limited so that the reports fit into one frame.
+	maxRecentCrashes = reportsPerFrame
+	// recentCrashRetention matches the time for which a request stays quarantined.
+	recentCrashRetention = 10 * time.Minute
+	// maxSeenCrashes bounds the set of crash reports that were already forwarded.
+	maxSeenCrashes = 8192
 )
--- a/control/watch.go
+++ b/control/watch.go
@@ -9,14 +9,15 @@
 	"lovagelane/membership"
 )
 
-// watcher keeps one outgoing connection to a member.
+// watcher maintains an outgoing connection to a member.
 type watcher struct {
 	cancel context.CancelFunc
-	// ring means that this node watches the member as a successor and may suspect it; guarded by Control.mu.
-	ring bool
+	// successor is set if the member is a ring successor of this node, which may then suspect it; guarded by Control.mu.
+	successor bool
 }
 
-// tick does the short periodic work: time-outs, rings, the choice of peers, flooding and the adoption of configurations.
+// tick runs the periodic work that does not block: timeouts, refutation, flooding, ring and watcher updates, and the adoption
+// of configurations.
 func (c *Control) tick() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,27 +26,27 @@
 	for _, id := range c.view.Tick(now, isolated) {
 		c.log.Warn("member-removed", "member", id, "reason", "suspicion not refuted")
 	}
-	c.learnPlace(now)
-	if now.Sub(c.refutedAt) >= c.tuning.refuteGap && c.view.Refute(now) {
+	c.updatePlace(now)
+	if now.Sub(c.refutedAt) >= c.tuning.refuteInterval && c.view.Refute(now) {
 		c.refutedAt = now
-		c.pending[c.view.Self().ID] = nil
+		c.pendingFlood[c.view.Self().ID] = nil
 		c.metrics.Add("control-refutations", 1)
 	}
 	c.flush()
-	c.choosePeers()
+	c.updateWatchers()
 	c.adopt(now)
 	signal(c.changed)
 }
 
-// learnPlace takes the region of the own availability zone and the slots from the configuration, or before that the region
-// from other members; the caller holds the lock.
-func (c *Control) learnPlace(now time.Time) {
+// updatePlace sets this node's region and slots from the loaded configuration, or before there is one the region from the
+// announcements of other members. The caller must hold c.mu.
+func (c *Control) updatePlace(now time.Time) {
 	self := c.view.Self()
 	if self.State == membership.StateLeft {
 		return
 	}
 	region, slots := self.Region, self.Slots
-	if cfg := c.held.config; cfg != nil {
+	if cfg := c.loaded.config; cfg != nil {
 		if name, ok := cfg.Region(self.AvailabilityZone); ok {
 			region = name
 		}
@@ -53,18 +54,18 @@
 			slots = group.Slots
 		}
 	} else if region == "" {
-		region = c.regionOfPeers()
+		region = c.announcedRegion()
 	}
 	if region != self.Region || slots != self.Slots {
 		c.view.SetPlace(now, region, slots)
-		c.pending[self.ID] = nil
+		c.pendingFlood[self.ID] = nil
 	}
 }
 
-// regionOfPeers returns the region that other members of the own availability zone announce.
-func (c *Control) regionOfPeers() string {
+// announcedRegion returns the region that another member of this node's availability zone announces, or "" if none does.
+func (c *Control) announcedRegion() string {
 	self := c.view.Self()
-	for _, m := range c.others() {
+	for _, m := range c.otherMembers() {
 		if m.AvailabilityZone == self.AvailabilityZone && m.Region != "" {
 			return m.Region
 		}
@@ -72,31 +73,32 @@
 	return ""
 }
 
-// regionOf returns the region that the held configuration gives the member's availability zone, or the announced one. An
-// announcement from before its sender had a configuration has no region; if the rings relied on it, nodes that take their
-// first configuration at the same time could form groups that leave each other out and never hear the later announcement.
+// regionOf returns the region of the member's availability zone in the loaded configuration, or the announced region if the
+// zone is not in it. An announcement that was sent before its sender had a configuration has no region. If the rings relied on
+// it, nodes that load their first configuration at the same time could form groups that exclude each other and never receive
+// the later announcements.
 func (c *Control) regionOf(m membership.Member) string {
-	if c.held.config != nil {
-		if name, ok := c.held.config.Region(m.AvailabilityZone); ok {
+	if c.loaded.config != nil {
+		if name, ok := c.loaded.config.Region(m.AvailabilityZone); ok {
 			return name
 		}
 	}
 	return m.Region
 }
 
-// placed gives the members the regions of the held configuration.
-func (c *Control) placed(members []membership.Member) []membership.Member {
+// withConfiguredRegions sets the regions of the members by regionOf, in place, and returns them.
+func (c *Control) withConfiguredRegions(members []membership.Member) []membership.Member {
 	for i := range members {
 		members[i].Region = c.regionOf(members[i])
 	}
 	return members
 }
 
-// regionPeers returns the ids of the other members of the own region, or of all others while the region is unknown.
-func (c *Control) regionPeers() []string {
+// regionPeerIDs returns the ids of the other members of this node's region, or of all others while the region is unknown.
+func (c *Control) regionPeerIDs() []string {
 	self := c.view.Self()
 	var ids []string
-	for _, m := range c.others() {
+	for _, m := range c.otherMembers() {
 		if self.Region == "" || c.regionOf(m) == self.Region {
 			ids = append(ids, m.ID)
 		}
@@ -104,28 +106,28 @@
 	return ids
 }
 
-// choosePeers starts and ends watchers so that they fit the rings; the caller holds the lock.
-func (c *Control) choosePeers() {
+// updateWatchers starts and stops watchers so that they match the rings. The caller must hold c.mu.
+func (c *Control) updateWatchers() {
 	self := c.view.Self()
 	if self.State == membership.StateLeft {
-		// Stop still needs the connections to announce it.
+		// Stop still needs the connections to announce that the node has left.
 		return
 	}
-	if c.view.Roster() != c.roster || c.held.version != c.placedBy {
-		c.roster, c.placedBy = c.view.Roster(), c.held.version
-		c.rings = membership.NewRings(c.placed(c.view.Live()))
+	if c.view.Roster() != c.ringsRoster || c.loaded.version != c.ringsConfigVersion {
+		c.ringsRoster, c.ringsConfigVersion = c.view.Roster(), c.loaded.version
+		c.rings = membership.NewRings(c.withConfiguredRegions(c.view.Live()))
 		c.adopter.Forget(c.view.IsLive)
 	}
 	wanted := map[string]membership.Member{}
-	ring := map[string]bool{}
-	self = c.placed([]membership.Member{self})[0]
+	successors := map[string]bool{}
+	self = c.withConfiguredRegions([]membership.Member{self})[0]
 	for _, m := range c.rings.Watched(self) {
-		wanted[m.ID], ring[m.ID] = m, true
+		wanted[m.ID], successors[m.ID] = m, true
 	}
 	for _, m := range c.rings.Links(self) {
 		wanted[m.ID] = m
 	}
-	for _, m := range c.askFor() {
+	for _, m := range c.bootstrapPeers() {
 		wanted[m.ID] = m
 	}
 	for id, w := range c.watchers {
@@ -139,31 +141,31 @@
 		if !ok {
 			w = c.startWatcher(m)
 		}
-		w.ring = ring[id]
+		w.successor = successors[id]
 	}
-	c.dropSeeds()
+	c.closeSeedConnections()
 }
 
-// askFor returns more peers to ask while this node has no configuration and cannot read the store.
-func (c *Control) askFor() []membership.Member {
-	if c.adopter.InForce() > 0 || c.storeState.ConfigRead {
+// bootstrapPeers returns further members to query for a configuration, while this node has none and cannot read the store.
+func (c *Control) bootstrapPeers() []membership.Member {
+	if c.adopter.InForce() > 0 || c.storeStatus.ConfigRead {
 		return nil
 	}
-	var asked []membership.Member
-	for _, id := range c.regionPeers() {
+	var candidates []membership.Member
+	for _, id := range c.regionPeerIDs() {
 		m, ok := c.view.Get(id)
 		if ok && !m.Suspected && !c.adopter.Answered(id) {
-			asked = append(asked, m)
+			candidates = append(candidates, m)
 		}
-		if len(asked) == askedPeers {
+		if len(candidates) == maxBootstrapPeers {
 			break
 		}
 	}
-	return asked
+	return candidates
 }
 
-// dropSeeds closes connections that only served to join once the rings provide others.
-func (c *Control) dropSeeds() {
+// closeSeedConnections closes synced connections to seeds once this node has an outgoing connection to another peer.
+func (c *Control) closeSeedConnections() {
 	established := 0
 	for p := range c.peers {
 		if p.outgoing && !p.seed {
@@ -189,8 +191,8 @@
 	return w
 }
 
-// watch keeps a connection to a member. Two failures in a row make it suspected: of a first dial and its repeat, or of a
-// connection and the dial after it.
+// watch maintains a connection to a member. It suspects the member after two consecutive failures: the first dial and its
+// retry, or an established connection and the dial after it.
 func (c *Control) watch(ctx context.Context, w *watcher, m membership.Member) {
 	pause := backoff{min: c.tuning.backoffMin, max: c.tuning.backoffMax, rand: c.options.Rand}
 	failures := 0
@@ -203,7 +205,7 @@
 		case d.established:
 			failures = 1
 			c.log.Info("control-connection-lost", "member", m.ID, "address", m.Control, "error", d.err)
-		case d.answered:
+		case d.reachable:
 			failures = 0
 		default:
 			failures++
@@ -211,10 +213,10 @@
 		if failures > 1 {
 			c.suspect(w, m, d.err)
 		}
-		if d.lasted >= c.tuning.stable {
+		if d.duration >= c.tuning.stableDuration {
 			pause.reset()
 		}
-		sleep(ctx, pause.next())
+		sleep(ctx, pause.nextDelay())
 	}
 }
 
@@ -222,33 +224,33 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current, _ := c.view.Get(m.ID)
-	if !w.ring || c.regionOf(current) != c.view.Self().Region || !c.view.Suspect(c.now(), m.ID) {
+	if !w.successor || c.regionOf(current) != c.view.Self().Region || !c.view.Suspect(c.now(), m.ID) {
 		return
 	}
-	c.pending[m.ID] = nil
+	c.pendingFlood[m.ID] = nil
 	c.metrics.Add("control-suspicions", 1)
 	c.log.Warn("member-suspected", "member", m.ID, "address", m.Control, "error", reason)
 }
 
-// seedLoop joins by a seed while there is no connection, and later looks for seeds that the view does not know, so that two
-// groups of nodes which started apart find each other.
+// seedLoop joins through a seed while there is no connection, and later dials seeds that are not in the view, so that two
+// groups of nodes that started separately merge.
 func (c *Control) seedLoop(ctx context.Context) error {
-	pause := backoff{min: c.tuning.seedRetry, max: c.tuning.backoffMax, rand: c.options.Rand}
-	wait := c.options.Rand.Jitter(c.tuning.seedRetry, 1)
+	pause := backoff{min: c.tuning.seedRetryDelay, max: c.tuning.backoffMax, rand: c.options.Rand}
+	wait := c.options.Rand.Jitter(c.tuning.seedRetryDelay, 1)
 	for sleep(ctx, wait) {
 		seeds := c.seedsToDial()
-		alone := c.peerCount() == 0
+		isolated := c.peerCount() == 0
 		if len(seeds) > 0 {
 			d := c.connect(ctx, seeds[c.options.Rand.IntN(len(seeds))], "", true)
 			if d.established {
 				pause.reset()
-			} else if alone && !errors.Is(d.err, errUnwanted) {
+			} else if isolated && !errors.Is(d.err, errUnwanted) {
 				c.metrics.Add("control-seed-failures", 1)
 			}
 		}
-		wait = pause.next()
+		wait = pause.nextDelay()
 		if c.peerCount() > 0 {
-			wait = c.options.Rand.Jitter(c.tuning.seedCheck, jitter)
+			wait = c.options.Rand.Jitter(c.tuning.seedCheckInterval, jitterFraction)
 		}
 	}
 	return nil
@@ -259,7 +261,7 @@
 	defer c.mu.Unlock()
 	known := map[string]bool{}
 	if len(c.peers) > 0 {
-		for _, m := range c.others() {
+		for _, m := range c.otherMembers() {
 			known[m.Control] = true
 		}
 	}
