--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,2 +1,2 @@
-// Package fleet reaches the nodes of a deployment with an operator's key, for the operator's commands.
+// Package fleet is the client with which the operator's commands query and control the nodes of a deployment.
 package fleet
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// together bounds the nodes that are asked at once.
-	together = 64
-	// answerTimeout bounds one question; a drain states a longer time itself.
-	answerTimeout = 3 * time.Second
-	// maxAnswer bounds the answer of a node, in bytes.
-	maxAnswer = 8 << 20
+	// maxConcurrentRequests bounds the concurrent requests of AskAll.
+	maxConcurrentRequests = 64
+	// requestTimeout bounds connecting and each request of AskAll and Notify; a drain sets its own, longer timeout.
+	requestTimeout = 3 * time.Second
+	// maxResponseBytes bounds the response body of a node.
+	maxResponseBytes = 8 << 20
 )
 
-// Paths that nodes answer to operators on their calls listener.
+// Paths of the operator endpoints on the calls listener of a node.
 const (
 	PathVersion = "/lovagelane/version"
 	PathNotice  = "/lovagelane/notice"
@@ -39,21 +39,21 @@
 	PathBurn    = "/lovagelane/burn"
 )
 
-// Err is the class of errors for a node or a store that cannot be reached.
+// Err is the class of errors of this package, such as an unreachable node or store.
 var Err = errs.Class("fleet")
 
-// Fleet asks the nodes of a deployment.
+// Fleet is an HTTP client for the operator endpoints of the nodes. It authenticates with an operator's key.
 type Fleet struct {
 	client *http.Client
 }
 
-// Open returns a fleet for the operator's key in a directory that lovagelane keys wrote.
+// Open returns a Fleet that uses the operator's key in a directory written by "lovagelane keys".
 func Open(keysDir string) (*Fleet, error) {
 	keyring, err := keys.Load(keys.PathsIn(keysDir, keys.RoleOperator))
 	if err != nil {
 		return nil, Err.Wrap(err)
 	}
-	dialer := &net.Dialer{Timeout: answerTimeout}
+	dialer := &net.Dialer{Timeout: requestTimeout}
 	return &Fleet{client: &http.Client{Transport: &http.Transport{
 		DialTLSContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
@@ -70,10 +70,10 @@
 	}}}, nil
 }
 
-// Members returns the members that the store lists, or, when a node is named, those that this node sees.
+// Members returns the members listed in the store, or those in the view of the given node if node is not empty.
 func (f *Fleet) Members(ctx context.Context, store, node string) ([]membership.Member, error) {
 	if node != "" {
-		return f.membersOf(ctx, node)
+		return f.membersSeenBy(ctx, node)
 	}
 	client, err := tablestore.NewClient(store, 0)
 	if err != nil {
@@ -86,34 +86,34 @@
 	}
 	members := []membership.Member{}
 	for _, row := range rows {
-		var a announcement
-		if err := json.Unmarshal([]byte(row.Value), &a); err == nil && !row.Deleted && row.Age() < a.lease() {
-			members = append(members, a.Member)
+		var decoded memberRow
+		if err := json.Unmarshal([]byte(row.Value), &decoded); err == nil && !row.Deleted && row.Age() < decoded.lease() {
+			members = append(members, decoded.Member)
 		}
 	}
 	return members, nil
 }
 
-// announcement is a row of the members table.
-type announcement struct {
+// memberRow is the value of a row in the members table.
+type memberRow struct {
 	Member      membership.Member `json:"member"`
 	LeaseMillis int64             `json:"lease-ms"`
 }
 
-func (a announcement) lease() time.Duration { return time.Duration(a.LeaseMillis) * time.Millisecond }
+func (a memberRow) lease() time.Duration { return time.Duration(a.LeaseMillis) * time.Millisecond }
 
-func (f *Fleet) membersOf(ctx context.Context, node string) ([]membership.Member, error) {
-	var view struct {
+func (f *Fleet) membersSeenBy(ctx context.Context, node string) ([]membership.Member, error) {
+	var status struct {
 		Member  membership.Member   `json:"member"`
 		Members []membership.Member `json:"members"`
 	}
-	if err := f.Ask(ctx, node, http.MethodGet, PathStatus, &view); err != nil {
+	if err := f.Ask(ctx, node, http.MethodGet, PathStatus, &status); err != nil {
 		return nil, err
 	}
-	return append(view.Members, view.Member), nil
+	return append(status.Members, status.Member), nil
 }
 
-// Ask sends a request to the calls address of a node and reads its JSON answer into v, unless v is nil.
+// Ask sends a request to the calls address of a node and decodes the JSON response into v, unless v is nil.
 func (f *Fleet) Ask(ctx context.Context, address, method, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "https://"+address+path, nil)
 	if err != nil {
@@ -121,10 +121,10 @@
 	}
 	resp, err := f.client.Do(req)
 	if err != nil {
-		return unreachable(address, err)
+		return unreachableError(address, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return Err.Wrap(err)
 	}
@@ -140,8 +140,8 @@
 	return Err.Wrap(json.Unmarshal(b, v))
 }
 
-// unreachable explains why a node gave no answer.
-func unreachable(address string, err error) error {
+// unreachableError returns an error with the likely cause and the remedy for a node that did not respond.
+func unreachableError(address string, err error) error {
 	var cause *url.Error
 	if errors.As(err, &cause) {
 		err = cause.Err // without the URL, which repeats the address
@@ -153,23 +153,23 @@
 	return Err.New("node %s does not answer (%v): check the address, which is calls-listen of its settings", address, err)
 }
 
-// Answer is what one node said, or why it did not.
+// Answer holds the response of a node or the error of the request.
 type Answer[T any] struct {
 	Member membership.Member
 	Value  T
 	Err    error
 }
 
-// AskAll asks many nodes at once and returns an answer for each, in the order of the members.
+// AskAll sends a GET request to all members concurrently and returns one Answer for each, in the order of members.
 func AskAll[T any](ctx context.Context, f *Fleet, members []membership.Member, path string) []Answer[T] {
 	answers := make([]Answer[T], len(members))
-	pool := kernel.NewPool(together, len(members)+1)
+	pool := kernel.NewPool(maxConcurrentRequests, len(members)+1)
 	var wait sync.WaitGroup
 	for i, m := range members {
 		wait.Add(1)
 		task := func() {
 			defer wait.Done()
-			ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+			ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
 			answers[i].Member = m
 			answers[i].Err = f.Ask(ctx, m.Calls, http.MethodGet, path, &answers[i].Value)
@@ -183,15 +183,15 @@
 	return answers
 }
 
-// Version is a node's answer on PathVersion.
+// Version is the response body of PathVersion.
 type Version struct {
 	ConfigurationVersion uint64 `json:"configuration-version"`
 }
 
-// Notify tells a few nodes to look for a new configuration now; the others hear of it from them.
+// Notify makes up to three nodes poll the store for a new configuration now; the others receive it from them by gossip.
 func (f *Fleet) Notify(ctx context.Context, members []membership.Member) {
 	for _, m := range members[:min(len(members), 3)] {
-		ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		_ = f.Ask(ctx, m.Calls, http.MethodPost, PathNotice, nil)
 		cancel()
 	}
