--- a/kernel/clock.go
+++ b/kernel/clock.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Clock tells the time to code that must be testable without waiting.
+// Clock returns the current time; code that takes a Clock can be tested without waiting.
 type Clock interface {
 	Now() time.Time
 }
 
-// SystemClock is the clock of the running process.
+// SystemClock is a Clock that reads the system time.
 type SystemClock struct{}
 
 // Now returns the current time with its monotonic reading.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// ManualClock is a clock for tests that moves only when told to; its zero value starts at the zero time.
+// ManualClock is a Clock for tests that moves only on Advance; its zero value starts at the zero time.
 type ManualClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-// Now returns the time that the clock was last moved to.
+// Now returns the time set by the last Advance.
 func (c *ManualClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/kernel/doc.go
+++ b/kernel/doc.go
@@ -1,3 +1,3 @@
-// Package kernel holds what every other package builds on: the clock, the group that starts goroutines, worker pools,
-// the registry of plug-ins, seeded randomness and small generic value types.
+// Package kernel provides the base types of the other packages: clocks, goroutine groups, worker pools, the plug-in
+// registry, a seeded random source and small generic containers.
 package kernel
--- a/kernel/group.go
+++ b/kernel/group.go
@@ -18,17 +18,17 @@
 	eg     *errgroup.Group
 }
 
-// NewGroup returns a group whose context ends with ctx, on Stop, or when one of its goroutines fails.
+// NewGroup returns a group whose context is cancelled with ctx, on Stop, or when one of its goroutines fails.
 func NewGroup(ctx context.Context) *Group {
 	ctx, cancel := context.WithCancel(ctx)
 	eg, ctx := errgroup.WithContext(ctx)
 	return &Group{ctx: ctx, cancel: cancel, eg: eg}
 }
 
-// Context returns the context that the group's goroutines run under.
+// Context returns the context that the group passes to its goroutines.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Go starts f and turns a panic in it into an error that names the goroutine.
+// Go runs f in a goroutine and turns a panic in it into an error that contains name and the stack.
 func (g *Group) Go(name string, f func(ctx context.Context) error) {
 	g.eg.Go(func() (err error) {
 		defer func() {
@@ -40,8 +40,8 @@
 	})
 }
 
-// Every starts a goroutine that calls f at each interval until the group stops; jitter in [0,1) shortens each wait by a
-// random part so that many processes do not act together.
+// Every starts a goroutine that calls f once per interval until the group stops; jitter in [0,1) shortens each interval
+// by a random fraction up to that value, so that many processes do not act at the same time.
 func (g *Group) Every(name string, interval time.Duration, jitter float64, r *Rand, f func(ctx context.Context)) {
 	g.Go(name, func(ctx context.Context) error {
 		timer := time.NewTimer(r.Jitter(interval, jitter))
@@ -58,14 +58,14 @@
 	})
 }
 
-// Stop cancels the group's context and waits for its goroutines.
+// Stop cancels the group's context, waits for its goroutines and returns the error of Wait.
 func (g *Group) Stop() error {
 	g.cancel()
 	return g.Wait()
 }
 
-// StopWithin cancels the group's context and waits for its goroutines for at most d, so that a process can end although one
-// of them waits for the network.
+// StopWithin is Stop with a wait of at most d, so that a process can exit while a goroutine is blocked on the network; it
+// returns nil when d has passed.
 func (g *Group) StopWithin(d time.Duration) error {
 	g.cancel()
 	done := make(chan error, 1)
@@ -84,7 +84,7 @@
 	}
 }
 
-// Wait waits for the group's goroutines and returns the first error other than cancellation.
+// Wait waits for the group's goroutines and returns the first error, or nil if that error is context.Canceled.
 func (g *Group) Wait() error {
 	err := g.eg.Wait()
 	g.cancel()
@@ -94,20 +94,20 @@
 	return err
 }
 
-// Pool is a bounded set of workers for short tasks.
+// Pool is a worker pool with a bounded queue for short tasks.
 type Pool struct {
 	pool pond.Pool
 }
 
-// NewPool returns a pool with at most workers goroutines and at most queue waiting tasks.
+// NewPool returns a pool with at most workers goroutines and at most queue queued tasks.
 func NewPool(workers, queue int) *Pool {
 	return &Pool{pool: pond.NewPool(workers, pond.WithQueueSize(queue), pond.WithNonBlocking(true))}
 }
 
-// Submit runs task on a worker and reports false when the queue is full.
+// Submit queues task and returns false, without running it, when the queue is full or the pool is stopped.
 func (p *Pool) Submit(task func()) bool {
 	return p.pool.Go(task) == nil
 }
 
-// Stop waits for the tasks that were accepted and ends the workers.
+// Stop waits for all accepted tasks and stops the workers.
 func (p *Pool) Stop() { p.pool.StopAndWait() }
--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -11,15 +11,15 @@
 	"lovagelane/kernel"
 )
 
-// Guards against a panic in one goroutine of a group that takes the process down or is lost.
-func TestGroupReportsPanics(t *testing.T) {
+// Guards against a panic in one goroutine of a group that crashes the process or is not reported.
+func TestGroupReturnsPanicsAsErrors(t *testing.T) {
 	g := kernel.NewGroup(context.Background())
 	g.Go("fails", func(context.Context) error { panic("boom") })
 	require.ErrorContains(t, g.Wait(), "goroutine fails panicked: boom")
 }
 
-// Guards against Stop leaving goroutines behind or hiding a real error behind cancellation.
-func TestGroupStops(t *testing.T) {
+// Guards against Stop leaking goroutines, or returning nil for an error other than cancellation.
+func TestGroupStopWaitsAndReturnsTheError(t *testing.T) {
 	g := kernel.NewGroup(context.Background())
 	g.Go("waits", func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() })
 	require.NoError(t, g.Stop())
@@ -30,8 +30,9 @@
 	require.ErrorIs(t, g.Stop(), failed)
 }
 
-// Guards against a process that can't end because a goroutine waits for something that does not come.
-func TestGroupStopsWithinATime(t *testing.T) {
+// Guards against a process that cannot exit because a goroutine ignores cancellation, and against StopWithin losing the
+// error of a goroutine that returns in time.
+func TestGroupStopWithinLimitsTheWait(t *testing.T) {
 	g := kernel.NewGroup(context.Background())
 	release := make(chan struct{})
 	defer close(release)
@@ -43,8 +44,8 @@
 	require.ErrorIs(t, g.StopWithin(time.Minute), failed)
 }
 
-// Guards against an unknown plug-in name that is accepted or reported without the valid names.
-func TestRegistryNamesItsPlugins(t *testing.T) {
+// Guards against accepting an unknown or duplicate plug-in name, and against an error that does not list the valid names.
+func TestRegistryLookupListsValidNames(t *testing.T) {
 	var r kernel.Registry[int]
 	r.Register("fixed", 1)
 	r.Register("learned", 2)
@@ -56,8 +57,8 @@
 	require.Panics(t, func() { r.Register("fixed", 3) })
 }
 
-// Guards against With changing the set that it was called on.
-func TestSetWithKeepsTheOriginal(t *testing.T) {
+// Guards against With modifying its receiver, and against a nil set that cannot be read.
+func TestSetWithDoesNotChangeReceiver(t *testing.T) {
 	a := kernel.SetOf("rn")
 	b := a.With("ce")
 	require.False(t, a.Has("ce"))
--- a/kernel/rand.go
+++ b/kernel/rand.go
@@ -12,12 +12,12 @@
 	r  *rand.Rand
 }
 
-// NewRand returns a source that yields the same numbers for the same seed.
+// NewRand returns a source that yields the same sequence for the same seed.
 func NewRand(seed uint64) *Rand {
 	return &Rand{r: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
 }
 
-// IntN returns a number in [0, n).
+// IntN returns a random integer in [0, n).
 func (r *Rand) IntN(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,14 +31,14 @@
 	return r.r.Uint64()
 }
 
-// Float64 returns a number in [0, 1).
+// Float64 returns a random number in [0, 1).
 func (r *Rand) Float64() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.r.Float64()
 }
 
-// Jitter returns d shortened by a random part of at most the given fraction.
+// Jitter returns d reduced by a random share of d that is at most fraction.
 func (r *Rand) Jitter(d time.Duration, fraction float64) time.Duration {
 	return d - time.Duration(float64(d)*fraction*r.Float64())
 }
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// Registry holds the plug-ins of one kind by name; its zero value is empty and ready to use.
+// Registry maps names to the plug-ins of one kind; its zero value is empty and ready to use.
 type Registry[T any] struct {
 	mu      sync.RWMutex
 	plugins map[string]T
 }
 
-// Register adds a plug-in from an init function and panics on a name that is taken.
+// Register adds a plug-in and panics if the name is already registered; init functions call it.
 func (r *Registry[T]) Register(name string, plugin T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -26,7 +26,7 @@
 	r.plugins[name] = plugin
 }
 
-// Lookup returns the plug-in with that name, or an error that lists the names there are.
+// Lookup returns the plug-in registered under name, or an error that lists the registered names.
 func (r *Registry[T]) Lookup(name string) (T, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -37,7 +37,7 @@
 	return plugin, nil
 }
 
-// Names returns the registered names in order.
+// Names returns the registered names in ascending order.
 func (r *Registry[T]) Names() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/kernel/table.go
+++ b/kernel/table.go
@@ -2,63 +2,63 @@
 
 import "container/list"
 
-// Table is a map with a bound on its entries: when it is full, the entry that was not used for the longest time makes
-// room. Get and Put take constant time. Use NewTable.
+// Table is a map with a fixed capacity that evicts the least recently used entry when it is full. Get and Put take
+// constant time. Use NewTable to create one.
 type Table[K comparable, V any] struct {
-	bound int
-	index map[K]*list.Element
-	// recent holds rows, the one used last in front.
-	recent *list.List
+	capacity int
+	index    map[K]*list.Element
+	// order lists the entries from the most to the least recently used.
+	order *list.List
 }
 
-type row[K comparable, V any] struct {
+type entry[K comparable, V any] struct {
 	key   K
 	value V
 }
 
-// NewTable returns an empty table for at most bound entries.
-func NewTable[K comparable, V any](bound int) *Table[K, V] {
-	return &Table[K, V]{bound: max(bound, 1), index: map[K]*list.Element{}, recent: list.New()}
+// NewTable returns an empty table for at most capacity entries; a capacity below 1 counts as 1.
+func NewTable[K comparable, V any](capacity int) *Table[K, V] {
+	return &Table[K, V]{capacity: max(capacity, 1), index: map[K]*list.Element{}, order: list.New()}
 }
 
 // Len returns the number of entries.
 func (t *Table[K, V]) Len() int { return len(t.index) }
 
-// Get returns the value for a key, or nil.
+// Get returns the value for key and marks it as used, or returns nil if the table does not contain key.
 func (t *Table[K, V]) Get(key K) *V {
-	e, ok := t.index[key]
+	elem, ok := t.index[key]
 	if !ok {
 		return nil
 	}
-	t.recent.MoveToFront(e)
-	return &e.Value.(*row[K, V]).value
+	t.order.MoveToFront(elem)
+	return &elem.Value.(*entry[K, V]).value
 }
 
-// Put returns the value for a key, which is a new zero value when the key was not in the table.
+// Put returns the value for key and marks it as used; if the table does not contain key, Put first inserts a zero value.
 func (t *Table[K, V]) Put(key K) *V {
 	if v := t.Get(key); v != nil {
 		return v
 	}
-	if len(t.index) >= t.bound {
-		t.remove(t.recent.Back())
+	if len(t.index) >= t.capacity {
+		t.remove(t.order.Back())
 	}
-	r := &row[K, V]{key: key}
-	t.index[key] = t.recent.PushFront(r)
-	return &r.value
+	e := &entry[K, V]{key: key}
+	t.index[key] = t.order.PushFront(e)
+	return &e.value
 }
 
-// Each calls f for every entry and removes those for which f returns false.
+// Each calls f for every entry, from the most to the least recently used, and removes those for which f returns false.
 func (t *Table[K, V]) Each(f func(key K, value *V) bool) {
-	for e := t.recent.Front(); e != nil; {
-		r, next := e.Value.(*row[K, V]), e.Next()
-		if !f(r.key, &r.value) {
-			t.remove(e)
+	for elem := t.order.Front(); elem != nil; {
+		ent, next := elem.Value.(*entry[K, V]), elem.Next()
+		if !f(ent.key, &ent.value) {
+			t.remove(elem)
 		}
-		e = next
+		elem = next
 	}
 }
 
-func (t *Table[K, V]) remove(e *list.Element) {
-	delete(t.index, e.Value.(*row[K, V]).key)
-	t.recent.Remove(e)
+func (t *Table[K, V]) remove(elem *list.Element) {
+	delete(t.index, elem.Value.(*entry[K, V]).key)
+	t.order.Remove(elem)
 }
--- a/kernel/table_test.go
+++ b/kernel/table_test.go
@@ -9,9 +9,10 @@
 	"lovagelane/kernel"
 )
 
-// Guards against a table that grows beyond its bound, mixes up values, or evicts what is in constant use.
+// Guards against a table that exceeds its capacity, returns the value of another key, or evicts a key that is used between
+// any two insertions.
 // Mutation: remove without the delete; Get without MoveToFront.
-func TestTable(t *testing.T) {
+func TestTableEvictsLeastRecentlyUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.IntRange(2, 8).Draw(t, "bound")
 		table := kernel.NewTable[int, int](bound)
--- a/kernel/value.go
+++ b/kernel/value.go
@@ -1,6 +1,6 @@
 package kernel
 
-// Set is a set of comparable values; its zero value is an empty set that can be read.
+// Set is a set of comparable values; its zero value is an empty, read-only set.
 type Set[T comparable] map[T]struct{}
 
 // SetOf returns a set of the given values.
@@ -18,14 +18,14 @@
 	return ok
 }
 
-// With returns a set that also holds v and leaves s unchanged.
+// With returns a copy of s that also contains v.
 func (s Set[T]) With(v T) Set[T] {
-	next := make(Set[T], len(s)+1)
+	copied := make(Set[T], len(s)+1)
 	for k := range s {
-		next[k] = struct{}{}
+		copied[k] = struct{}{}
 	}
-	next[v] = struct{}{}
-	return next
+	copied[v] = struct{}{}
+	return copied
 }
 
 // Option is a value that may be absent; its zero value is absent.
@@ -34,13 +34,13 @@
 	present bool
 }
 
-// Some returns an option that holds v.
+// Some returns an option with the value v.
 func Some[T any](v T) Option[T] { return Option[T]{value: v, present: true} }
 
 // Get returns the value and whether it is present.
 func (o Option[T]) Get() (T, bool) { return o.value, o.present }
 
-// Or returns the value, or other when it is absent.
+// Or returns the value, or other if the value is absent.
 func (o Option[T]) Or(other T) T {
 	if o.present {
 		return o.value
