--- a/setting/collector.go
+++ b/setting/collector.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Collector reads typed values and collects every problem; its zero value is ready to use. A value that is absent or was
-// reported is read as the zero value.
+// Collector parses typed values and collects all problems; its zero value is ready to use. Its methods return the zero value
+// for a value that is absent or invalid.
 type Collector struct {
 	Problems Problems
 }
 
-// Add reports a problem.
+// Add appends a problem.
 func (c *Collector) Add(at Line, what, remedy string) { c.Problems.Add(at, what, remedy) }
 
 // Text returns the text of a key.
@@ -23,7 +23,7 @@
 	return v.Text
 }
 
-// Name returns a name in kebab case.
+// Name returns a name and reports one that is not in kebab case or too long.
 func (c *Collector) Name(s Section, key string) string {
 	v, ok := s.Value(key)
 	if ok && !ValidName(v.Text) {
@@ -33,7 +33,7 @@
 	return v.Text
 }
 
-// Names returns a list of different names in kebab case.
+// Names returns the names of a list that is separated by commas and reports those that are invalid or repeated.
 func (c *Collector) Names(s Section, key string) []string {
 	var names []string
 	for _, name := range c.List(s, key) {
@@ -46,7 +46,7 @@
 	return names
 }
 
-// List returns the different items of a list that is separated by commas.
+// List returns the items of a list that is separated by commas and reports those that are empty or repeated.
 func (c *Collector) List(s Section, key string) []string {
 	v, ok := s.Value(key)
 	if !ok {
@@ -69,7 +69,7 @@
 	return items
 }
 
-// Bool returns a value of yes or no.
+// Bool returns true for yes and false for no, and reports any other value.
 func (c *Collector) Bool(s Section, key string) bool {
 	v, ok := s.Value(key)
 	if ok && v.Text != "yes" && v.Text != "no" {
@@ -78,7 +78,7 @@
 	return v.Text == "yes"
 }
 
-// Int returns a whole number between low and high.
+// Int returns a whole number from low to high, both included.
 func (c *Collector) Int(s Section, key string, low, high int) int {
 	v, ok := s.Value(key)
 	if !ok {
@@ -93,13 +93,13 @@
 	return n
 }
 
-// Duration returns a duration in whole milliseconds of at most longest.
-func (c *Collector) Duration(s Section, key string, longest time.Duration) time.Duration {
+// Duration returns a duration in whole milliseconds from 1 ms to maxDuration.
+func (c *Collector) Duration(s Section, key string, maxDuration time.Duration) time.Duration {
 	v, ok := s.Value(key)
 	if !ok {
 		return 0
 	}
-	if c.withoutUnit(v, key, "s or ms") {
+	if c.reportMissingUnit(v, key, "s or ms") {
 		return 0
 	}
 	d, err := time.ParseDuration(v.Text)
@@ -107,27 +107,27 @@
 		c.Add(v.Line, fmt.Sprintf("%s = %s is not a duration", key, v.Text), "write a number with a unit, as in 500ms, 2s or 1m")
 		return 0
 	}
-	if d < time.Millisecond || d > longest || d%time.Millisecond != 0 {
+	if d < time.Millisecond || d > maxDuration || d%time.Millisecond != 0 {
 		c.Add(v.Line, fmt.Sprintf("%s = %s is out of range", key, v.Text),
-			fmt.Sprintf("write whole milliseconds from 1ms to %s", longest))
+			fmt.Sprintf("write whole milliseconds from 1ms to %s", maxDuration))
 		return 0
 	}
 	return d
 }
 
-// byteUnits are ordered so that the longer suffix is tried first.
+// byteUnits are in descending order: FormatBytes uses the first unit that fits, and B is last since every suffix ends with B.
 var byteUnits = []struct {
 	suffix string
 	size   int64
 }{{"GB", 1 << 30}, {"MB", 1 << 20}, {"KB", 1 << 10}, {"B", 1}}
 
-// Bytes returns a size of at most largest bytes; a KB has 1024 bytes.
-func (c *Collector) Bytes(s Section, key string, largest int64) int64 {
+// Bytes returns a size from 1 byte to maxBytes in bytes; 1KB is 1024 bytes.
+func (c *Collector) Bytes(s Section, key string, maxBytes int64) int64 {
 	v, ok := s.Value(key)
 	if !ok {
 		return 0
 	}
-	if c.withoutUnit(v, key, "KB, MB or GB") {
+	if c.reportMissingUnit(v, key, "KB, MB or GB") {
 		return 0
 	}
 	for _, u := range byteUnits {
@@ -139,8 +139,8 @@
 		if err != nil {
 			break
 		}
-		if n < 1 || n > largest/u.size {
-			c.Add(v.Line, fmt.Sprintf("%s = %s is out of range", key, v.Text), "write a size from 1B to "+FormatBytes(largest))
+		if n < 1 || n > maxBytes/u.size {
+			c.Add(v.Line, fmt.Sprintf("%s = %s is out of range", key, v.Text), "write a size from 1B to "+FormatBytes(maxBytes))
 			return 0
 		}
 		return n * u.size
@@ -149,7 +149,7 @@
 	return 0
 }
 
-// FormatBytes returns a size in the largest unit that shows it exactly.
+// FormatBytes returns the size n, which is in bytes, as text in the largest unit that represents it exactly.
 func FormatBytes(n int64) string {
 	for _, u := range byteUnits {
 		if n >= u.size && n%u.size == 0 {
@@ -159,13 +159,13 @@
 	return fmt.Sprintf("%dB", n)
 }
 
-// Percent returns a share above 0% and below 100% as a fraction of 1.
+// Percent returns a percentage above 0% and below 100% as a fraction of 1.
 func (c *Collector) Percent(s Section, key string) float64 {
 	v, ok := s.Value(key)
 	if !ok {
 		return 0
 	}
-	if c.withoutUnit(v, key, "%") {
+	if c.reportMissingUnit(v, key, "%") {
 		return 0
 	}
 	n, err := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(v.Text, "%")), 64)
@@ -176,7 +176,8 @@
 	return n / 100
 }
 
-func (c *Collector) withoutUnit(v Value, key, units string) bool {
+// reportMissingUnit reports a value that is a number without a unit, and returns whether it is one.
+func (c *Collector) reportMissingUnit(v Value, key, units string) bool {
 	if _, err := strconv.ParseFloat(v.Text, 64); err != nil {
 		return false
 	}
--- a/setting/doc.go
+++ b/setting/doc.go
@@ -1,3 +1,3 @@
-// Package setting reads INI files strictly: every section and key knows its line, and every mistake is reported with its
-// place and the remedy. The inventory and the settings of a process are built on it.
+// Package setting is a strict INI parser with a schema. It records the line of every section and key, and reports every
+// mistake with its file, line and remedy. The inventory and the settings of a process are parsed with it.
 package setting
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -16,8 +16,9 @@
 	return setting.Read("node.ini", text, kinds)
 }
 
-// Guards against values that the library reads otherwise than the line index expects.
-func TestValues(t *testing.T) {
+// Guards against values that ini.v1 parses differently from the line index: surrounding space, inline comments, quotes,
+// backslashes, interpolation, byte order marks and CRLF.
+func TestReadReturnsValuesAndLines(t *testing.T) {
 	for written, want := range map[string]string{
 		"maps":              "maps",
 		"  maps\t":          "maps",
@@ -40,8 +41,8 @@
 	}
 }
 
-// Guards against a file that is read although a node could not pass it on, and against a limit that is one byte off.
-func TestSize(t *testing.T) {
+// Guards against accepting a file that is too large for a node to send to others, and against an off-by-one error in the limit.
+func TestReadBoundsFileSize(t *testing.T) {
 	text := "[node]\nservice = maps\n#"
 	text += strings.Repeat("x", setting.MaxText-len(text))
 	_, problems := read(text)
@@ -50,7 +51,7 @@
 	require.Equal(t, "node.ini:1: the file has 262145 bytes: keep it within 262144 bytes", problems.Error())
 }
 
-// Guards against sizes that change when they are written and read again.
+// Guards against sizes that change when they are formatted and parsed again.
 func TestBytesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.Int64Range(1, 1<<30).Draw(t, "n")
@@ -62,7 +63,7 @@
 	})
 }
 
-// Guards against input that makes the reader panic, and against an accepted line whose value the library did not read.
+// Guards against input that makes the parser panic, and against an accepted line whose value ini.v1 did not parse.
 func FuzzRead(f *testing.F) {
 	f.Add("[node]\nservice = maps # x\nstore = \"y\"\n[keys]")
 	f.Add("[node\n[node] x]\n-=1\n\"\"\"a\"\"\"=b\nservice=`a\nb`\n[node]\nservice=\\\nstore=\xff\x00")
