--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings of one process: its addresses, availability zone, keys, seeds and store.
+// Package settings parses and validates the settings of one process: its addresses, availability zone, keys, seeds and store.
 //
 //	[node]
 //	service = nursery
@@ -18,6 +18,6 @@
 //	authority = authority.pem
 //	ticket-key = ticket-key
 //
-// admin-listen and seeds may be left out. An optional section [baselines] with limiter, policy and retries chooses other
-// plug-ins for measurements.
+// admin-listen and seeds are optional. An optional section [baselines] with limiter, policy and retries selects other
+// plug-ins for baseline measurements.
 package settings
--- a/settings/mesh.go
+++ b/settings/mesh.go
@@ -10,12 +10,12 @@
 	"lovagelane/setting"
 )
 
-// Bounds of what settings may state.
+// Maximum values of settings.
 const (
-	maxMemoryMB   = 1 << 20
-	maxRepeats    = 1 << 20
-	longestGrace  = 10 * time.Minute
-	longestWindow = 10 * time.Minute
+	maxMemoryMB       = 1 << 20
+	maxRepeatsAllowed = 1 << 20
+	maxGrace          = 10 * time.Minute
+	maxRepeatWindow   = 10 * time.Minute
 )
 
 var meshKinds = []setting.Kind{
@@ -27,47 +27,48 @@
 	},
 }
 
-// Mesh holds the settings of a node whose deployment brings its own protocols.
+// Mesh holds the settings of a node whose deployment uses its own protocols.
 type Mesh struct {
 	// Deployment names the plug-in that translates the deployment's protocols.
 	Deployment       string
 	Service          string
 	AvailabilityZone string
 	Region           string
-	// BackendServer is the address of the own backend server.
+	// BackendServer is the address of the node's own backend server.
 	BackendServer string
-	// CallersListen takes requests of callers and of the own backend server.
+	// CallersListen is the listen address for requests from callers and from the node's own backend server.
 	CallersListen string
-	// ReadyListen answers whether the node takes requests.
+	// ReadyListen is the listen address of the readiness check.
 	ReadyListen string
-	// AnnounceListen takes the announcements of the own backend server.
+	// AnnounceListen is the listen address for announcements of the node's own backend server.
 	AnnounceListen string
-	// CallsListen takes the connections of other nodes.
+	// CallsListen is the listen address for connections of other nodes.
 	CallsListen string
-	// CallsAddress is where other nodes reach CallsListen.
+	// CallsAddress is the address at which other nodes reach CallsListen; it defaults to CallsListen.
 	CallsAddress string
-	// AdminListen serves metrics; empty means that they are not served.
+	// AdminListen is the listen address for metrics; empty disables them.
 	AdminListen string
 	// Store is the address of the operators' store.
 	Store string
-	// MemoryMB is the memory that the process may use, in MB; 0 means that it is not stated.
+	// MemoryMB is the memory limit of the process in MB; 0 means that it is not set.
 	MemoryMB int
-	// Grace is the time between the signal to stop and the end by force; 0 means that it is not stated.
+	// Grace is the time between the stop signal and forced termination; 0 means that it is not set.
 	Grace time.Duration
-	// RepeatRatio is the part of a service's requests that all nodes together may send again within RepeatWindow, and
-	// RepeatsAllowed is what they may send again beyond that. Without a window nothing is sent again.
+	// RepeatRatio, RepeatsAllowed and RepeatWindow define the retry budget of a service, which all nodes share: within
+	// RepeatWindow they may repeat a fraction RepeatRatio of the service's requests, and RepeatsAllowed requests more. Without
+	// RepeatWindow no request is repeated.
 	RepeatRatio    float64
 	RepeatsAllowed int
 	RepeatWindow   time.Duration
 }
 
-// String returns all settings in one line.
+// String returns all settings on one line, with field names.
 func (m Mesh) String() string {
 	type plain Mesh
 	return fmt.Sprintf("%+v", plain(m))
 }
 
-// LoadMesh reads the settings of a mesh node from an INI file and returns an error that names file, line and remedy.
+// LoadMesh reads the settings of a mesh node from an INI file. Its errors contain the file, the line and the remedy.
 func LoadMesh(path string) (Mesh, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -76,10 +77,10 @@
 	return ParseMesh(path, string(text))
 }
 
-// ParseMesh reads the settings of a mesh node from text and returns either them or setting.Problems with every mistake.
+// ParseMesh parses the settings of a mesh node and returns either them or setting.Problems with every mistake.
 func ParseMesh(file, text string) (Mesh, error) {
 	sections, problems := setting.Read(file, text, meshKinds)
-	r := &reader{sections: map[string]setting.Section{}, listeners: map[string]string{}}
+	r := &reader{sections: map[string]setting.Section{}, listenerKeys: map[string]string{}}
 	r.Problems = problems
 	for _, s := range sections {
 		r.sections[s.Kind] = s
@@ -102,33 +103,33 @@
 		Service:          r.Text(s, "service"),
 		AvailabilityZone: r.Text(s, "availability-zone"),
 		Region:           r.Text(s, "region"),
-		BackendServer:    r.peer(s, "backend-server"),
-		CallersListen:    r.announced(s, "callers-listen"),
-		ReadyListen:      r.announced(s, "ready-listen"),
-		AnnounceListen:   r.announced(s, "announce-listen"),
-		CallsListen:      r.announced(s, "calls-listen"),
-		CallsAddress:     r.peer(s, "calls-address"),
-		AdminListen:      text(r.address(s, "admin-listen")),
-		Store:            r.peer(s, "store"),
+		BackendServer:    r.dialAddress(s, "backend-server"),
+		CallersListen:    r.advertisedAddress(s, "callers-listen"),
+		ReadyListen:      r.advertisedAddress(s, "ready-listen"),
+		AnnounceListen:   r.advertisedAddress(s, "announce-listen"),
+		CallsListen:      r.advertisedAddress(s, "calls-listen"),
+		CallsAddress:     r.dialAddress(s, "calls-address"),
+		AdminListen:      formatAddress(r.listenAddress(s, "admin-listen")),
+		Store:            r.dialAddress(s, "store"),
 		MemoryMB:         r.Int(s, "memory-mb", 1, maxMemoryMB),
-		Grace:            r.Duration(s, "grace", longestGrace),
+		Grace:            r.Duration(s, "grace", maxGrace),
 		RepeatRatio:      r.ratio(s, "repeat-ratio"),
-		RepeatsAllowed:   r.Int(s, "repeats-allowed", 0, maxRepeats),
-		RepeatWindow:     r.Duration(s, "repeat-window", longestWindow),
+		RepeatsAllowed:   r.Int(s, "repeats-allowed", 0, maxRepeatsAllowed),
+		RepeatWindow:     r.Duration(s, "repeat-window", maxRepeatWindow),
 	}
 	if m.CallsAddress == "" {
 		m.CallsAddress = m.CallsListen
 	}
 	for _, key := range []string{"callers-listen", "ready-listen", "announce-listen", "calls-listen", "admin-listen"} {
-		// A mesh node has no admin address of its own accord.
+		// Unlike a node, a mesh node has no default admin address.
 		if _, ok := s.Value(key); ok {
-			r.checkListener(s, key)
+			r.checkDuplicateListener(s, key)
 		}
 	}
 	return m
 }
 
-// ratio reads a number from 0 to 1.
+// ratio parses a number from 0 to 1.
 func (r *reader) ratio(s setting.Section, key string) float64 {
 	v, ok := s.Value(key)
 	if !ok {
--- a/settings/mesh_test.go
+++ b/settings/mesh_test.go
@@ -28,8 +28,8 @@
 repeat-window = 10s
 `
 
-// Guards against settings that are read as something else than they state.
-func TestParseMesh(t *testing.T) {
+// Guards against a field of Mesh that is not set, or is set from the wrong key or in the wrong unit.
+func TestParseMeshReadsAllFields(t *testing.T) {
 	m, err := settings.ParseMesh("mesh.ini", validMesh)
 	require.NoError(t, err)
 	require.Equal(t, settings.Mesh{Deployment: "operators-platform", Service: "huvo11a", AvailabilityZone: "rn-natal", Region: "rn",
@@ -38,7 +38,7 @@
 		RepeatRatio: 0.2, RepeatsAllowed: 50, RepeatWindow: 10 * time.Second}, m)
 }
 
-// Guards against mistakes that go unnoticed, or that are reported without their line and a remedy.
+// Guards against invalid settings that are accepted, or that are reported without the line or the remedy.
 func TestParseMeshReportsMistakes(t *testing.T) {
 	for name, tc := range map[string]struct{ old, new, want string }{
 		"no section":        {validMesh, "", "there is no [mesh] section"},
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// Variable is the environment variable that may hold the settings' text, since instances have no disks.
+	// Variable is the environment variable that can contain the text of the settings, since instances have no disks.
 	Variable = "LOVAGELANE_SETTINGS"
-	// DefaultAdminListen is the admin address of a node that states none.
+	// DefaultAdminListen is the default of Node.AdminListen.
 	DefaultAdminListen = "127.0.0.1:7004"
 )
 
-// Err is the class of errors for settings that cannot be read; mistakes in them are setting.Problems.
+// Err is the class of errors for settings that cannot be read; mistakes in settings are setting.Problems.
 var Err = errs.Class("settings")
 
-var kinds = []setting.Kind{
+var nodeKinds = []setting.Kind{
 	{
 		Name: "node",
 		Required: []string{"service", "availability-zone", "backend-server", "callers-listen", "backend-listen",
@@ -38,30 +38,31 @@
 type Node struct {
 	Service          string
 	AvailabilityZone string
-	// BackendServer is the address of the own backend server.
+	// BackendServer is the address of the node's own backend server.
 	BackendServer string
-	// CallersListen takes calls from outside callers over HTTP.
+	// CallersListen is the listen address for calls from outside callers over HTTP.
 	CallersListen string
-	// BackendListen takes calls from the own backend server over HTTP, on loopback.
+	// BackendListen is the loopback listen address for calls from the node's own backend server over HTTP.
 	BackendListen string
-	// CallsListen takes calls from other nodes over HTTP with mutual TLS.
+	// CallsListen is the listen address for calls from other nodes over HTTP with mutual TLS.
 	CallsListen string
-	// ControlListen is the UDP address for QUIC with other nodes.
+	// ControlListen is the UDP listen address for QUIC connections with other nodes.
 	ControlListen string
-	// AdminListen serves metrics, status and drain over HTTP.
+	// AdminListen is the listen address for metrics, status and drain over HTTP.
 	AdminListen string
-	// Seeds are control addresses of other nodes to join by.
+	// Seeds are the control addresses of the nodes that the node contacts to join.
 	Seeds []string
 	// Store is the base URL of the platform's table service and object store.
 	Store string
-	// Certificate, Key and Authority are PEM files; TicketKey is a file with at least 32 random bytes in hexadecimal.
+	// Certificate, Key and Authority are paths of PEM files; TicketKey is the path of a file with keys of at least 32 random
+	// bytes in hexadecimal.
 	Certificate, Key, Authority, TicketKey string
-	// Limiter, Policy and Retries choose plug-ins; they exist to measure baselines and are empty in operation.
+	// Limiter, Policy and Retries select plug-ins for baseline measurements; they are empty in production.
 	Limiter, Policy, Retries string
 }
 
-// Load reads a node's settings from an INI file, or from the environment when the path is empty, and returns an error that
-// names file, line and remedy.
+// Load reads a node's settings from an INI file, or from the environment variable Variable if path is empty. Its errors
+// contain the file, the line and the remedy.
 func Load(path string) (Node, error) {
 	if path == "" {
 		text, ok := os.LookupEnv(Variable)
@@ -77,10 +78,10 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads a node's settings from text and returns either them or setting.Problems with every mistake.
+// Parse parses a node's settings and returns either them or setting.Problems with every mistake.
 func Parse(file, text string) (Node, error) {
-	sections, problems := setting.Read(file, text, kinds)
-	r := &reader{sections: map[string]setting.Section{}, listeners: map[string]string{}}
+	sections, problems := setting.Read(file, text, nodeKinds)
+	r := &reader{sections: map[string]setting.Section{}, listenerKeys: map[string]string{}}
 	r.Problems = problems
 	for _, s := range sections {
 		if _, ok := r.sections[s.Kind]; !ok {
@@ -90,7 +91,7 @@
 	for _, kind := range []string{"node", "keys"} {
 		if _, ok := r.sections[kind]; !ok && len(text) <= setting.MaxText {
 			r.Add(setting.Line{File: file, Number: 1}, fmt.Sprintf("there is no [%s] section", kind), "add it with the lines "+
-				strings.Join(kinds[slices.IndexFunc(kinds, func(k setting.Kind) bool { return k.Name == kind })].Required, ", "))
+				strings.Join(nodeKinds[slices.IndexFunc(nodeKinds, func(k setting.Kind) bool { return k.Name == kind })].Required, ", "))
 		}
 	}
 	n := r.node()
@@ -104,8 +105,8 @@
 type reader struct {
 	setting.Collector
 	sections map[string]setting.Section
-	// listeners holds the key that states each TCP listener.
-	listeners map[string]string
+	// listenerKeys maps each TCP listen address to the settings key that contains it.
+	listenerKeys map[string]string
 }
 
 func (r *reader) node() Node {
@@ -113,11 +114,11 @@
 	n := Node{
 		Service:          r.Name(s, "service"),
 		AvailabilityZone: r.Name(s, "availability-zone"),
-		BackendServer:    r.peer(s, "backend-server"),
-		CallersListen:    r.announced(s, "callers-listen"),
-		BackendListen:    r.loopback(s, "backend-listen"),
-		CallsListen:      r.announced(s, "calls-listen"),
-		ControlListen:    r.announced(s, "control-listen"),
+		BackendServer:    r.dialAddress(s, "backend-server"),
+		CallersListen:    r.advertisedAddress(s, "callers-listen"),
+		BackendListen:    r.loopbackAddress(s, "backend-listen"),
+		CallsListen:      r.advertisedAddress(s, "calls-listen"),
+		ControlListen:    r.advertisedAddress(s, "control-listen"),
 		AdminListen:      DefaultAdminListen,
 		Store:            r.url(s, "store"),
 		Certificate:      r.Text(k, "certificate"),
@@ -129,26 +130,27 @@
 		Retries:          r.Name(b, "retries"),
 	}
 	if _, ok := s.Value("admin-listen"); ok {
-		n.AdminListen = text(r.address(s, "admin-listen"))
+		n.AdminListen = formatAddress(r.listenAddress(s, "admin-listen"))
 	}
 	for _, item := range r.List(s, "seeds") {
-		n.Seeds = append(n.Seeds, text(r.parse(s.LineOf("seeds"), "seeds", item, false)))
+		n.Seeds = append(n.Seeds, formatAddress(r.parseAddress(s.LineOf("seeds"), "seeds", item, false)))
 	}
 	for _, key := range []string{"callers-listen", "backend-listen", "calls-listen", "admin-listen"} {
-		r.checkListener(s, key)
+		r.checkDuplicateListener(s, key)
 	}
 	return n
 }
 
-func text(a netip.AddrPort) string {
+func formatAddress(a netip.AddrPort) string {
 	if !a.IsValid() {
 		return ""
 	}
 	return a.String()
 }
 
-// parse reads an address by IP number; port 0, for a port that the system chooses, is for listeners only.
-func (r *reader) parse(at setting.Line, key, value string, listener bool) netip.AddrPort {
+// parseAddress parses an IP address and port. Only a listener can have port 0, for which the system selects a port, or an
+// unspecified IP address.
+func (r *reader) parseAddress(at setting.Line, key, value string, listener bool) netip.AddrPort {
 	a, err := netip.ParseAddrPort(value)
 	switch {
 	case err != nil:
@@ -163,41 +165,41 @@
 	return netip.AddrPort{}
 }
 
-func (r *reader) address(s setting.Section, key string) netip.AddrPort {
+func (r *reader) listenAddress(s setting.Section, key string) netip.AddrPort {
 	v, ok := s.Value(key)
 	if !ok {
 		return netip.AddrPort{}
 	}
-	return r.parse(v.Line, key, v.Text, true)
+	return r.parseAddress(v.Line, key, v.Text, true)
 }
 
-func (r *reader) peer(s setting.Section, key string) string {
+func (r *reader) dialAddress(s setting.Section, key string) string {
 	v, ok := s.Value(key)
 	if !ok {
 		return ""
 	}
-	return text(r.parse(v.Line, key, v.Text, false))
+	return formatAddress(r.parseAddress(v.Line, key, v.Text, false))
 }
 
-// announced reads the address of a listener that others are told of, so it must name the instance.
-func (r *reader) announced(s setting.Section, key string) string {
-	a := r.address(s, key)
+// advertisedAddress parses a listen address that is advertised to others, so it must not have the unspecified IP address.
+func (r *reader) advertisedAddress(s setting.Section, key string) string {
+	a := r.listenAddress(s, key)
 	if a.IsValid() && a.Addr().IsUnspecified() {
 		r.Add(s.LineOf(key), fmt.Sprintf("%s = %s cannot be announced to others", key, a), "state the IP number of this instance")
 	}
-	return text(a)
+	return formatAddress(a)
 }
 
-func (r *reader) loopback(s setting.Section, key string) string {
-	a := r.address(s, key)
+func (r *reader) loopbackAddress(s setting.Section, key string) string {
+	a := r.listenAddress(s, key)
 	if a.IsValid() && !a.Addr().IsLoopback() {
 		r.Add(s.LineOf(key), fmt.Sprintf("%s = %s is open to other instances", key, a), "use a loopback address, as in 127.0.0.1:7001")
 	}
-	return text(a)
+	return formatAddress(a)
 }
 
-// checkListener reports a TCP address that an earlier key uses already.
-func (r *reader) checkListener(s setting.Section, key string) {
+// checkDuplicateListener reports a TCP listen address that an earlier key has too.
+func (r *reader) checkDuplicateListener(s setting.Section, key string) {
 	v, ok := s.Value(key)
 	value := v.Text
 	if !ok && key == "admin-listen" {
@@ -207,11 +209,11 @@
 	if err != nil || a.Port() == 0 {
 		return
 	}
-	if other, taken := r.listeners[a.String()]; taken {
+	if other, taken := r.listenerKeys[a.String()]; taken {
 		r.Add(s.LineOf(key), fmt.Sprintf("%s uses the address %s of %s", key, a, other), "give each listener an address of its own")
 		return
 	}
-	r.listeners[a.String()] = key
+	r.listenerKeys[a.String()] = key
 }
 
 func (r *reader) url(s setting.Section, key string) string {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -38,8 +38,9 @@
 	TicketKey: "ticket-key", Limiter: "fixed",
 }
 
-// Guards against settings that are lost on the way from the file or from the environment variable.
-func TestLoad(t *testing.T) {
+// Guards against settings that are lost when they are loaded from a file or from the environment variable, and against errors
+// without a remedy.
+func TestLoadFromFileOrEnvironment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.ini")
 	require.NoError(t, os.WriteFile(path, []byte(valid), 0o600))
 	got, err := settings.Load(path)
@@ -58,8 +59,9 @@
 	require.ErrorContains(t, err, "name a file that this process can read")
 }
 
-// Guards against a mistake in the settings that a node would meet only after it started, or that hides another one.
-func TestProblems(t *testing.T) {
+// Guards against an invalid setting that a node detects only after it has started, and against one problem that suppresses the
+// report of another.
+func TestParseReportsAllProblems(t *testing.T) {
 	for text, want := range map[string][]string{
 		"": {
 			"node.ini:1: there is no [node] section: add it with the lines service, availability-zone, backend-server, " +
