--- a/keys/issue.go
+++ b/keys/issue.go
@@ -19,8 +19,9 @@
 const (
 	authorityLifetime = 10 * 365 * 24 * time.Hour
 	keyLifetime       = 365 * 24 * time.Hour
-	// clockTolerance dates keys back so that instances whose clocks are behind accept them at once.
-	clockTolerance = 10 * time.Minute
+	// maxClockSkew is subtracted from the start of validity, so that instances whose clocks are behind accept a new
+	// certificate at once.
+	maxClockSkew = 10 * time.Minute
 )
 
 const (
@@ -34,13 +35,13 @@
 	content []byte
 }
 
-// signer is an authority with its private key.
+// signer is an authority's certificate and private key.
 type signer struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// PathsIn returns the files that Issue writes into dir for a role.
+// PathsIn returns the paths of the files that Issue writes into dir for role.
 func PathsIn(dir string, role Role) Paths {
 	return Paths{
 		Certificate: filepath.Join(dir, certificateFile(role)),
@@ -49,15 +50,15 @@
 	}
 }
 
-// TicketKeyIn returns the ticket key file that Issue writes into dir.
+// TicketKeyIn returns the path of the ticket key file that Issue writes into dir.
 func TicketKeyIn(dir string) string { return filepath.Join(dir, ticketKeyFile) }
 
 func certificateFile(r Role) string { return string(r) + ".pem" }
 func keyFile(r Role) string         { return string(r) + "-key.pem" }
 
 // Issue writes the keys of a new deployment into dir: authority.pem, authority-key.pem, node.pem, node-key.pem,
-// operator.pem, operator-key.pem and ticket-key. It creates dir if needed and never overwrites a file. Nodes get
-// authority.pem, node.pem, node-key.pem and ticket-key; authority-key.pem stays with the operators.
+// operator.pem, operator-key.pem and ticket-key. It creates dir if needed and never overwrites a file. Nodes need
+// authority.pem, node.pem, node-key.pem and ticket-key; only the operators keep authority-key.pem.
 func Issue(dir string) error {
 	now := time.Now()
 	authority, files, err := newAuthority(now)
@@ -65,7 +66,7 @@
 		return Error.Wrap(err)
 	}
 	for _, role := range []Role{RoleNode, RoleOperator} {
-		issued, err := authority.issue(role, now.Add(-clockTolerance), now.Add(keyLifetime))
+		issued, err := authority.issue(role, now.Add(-maxClockSkew), now.Add(keyLifetime))
 		if err != nil {
 			return Error.Wrap(err)
 		}
@@ -76,7 +77,7 @@
 		return Error.Wrap(err)
 	}
 	files = append(files, file{ticketKeyFile, []byte(hex.EncodeToString(secret) + "\n")})
-	return writeNew(dir, files)
+	return writeNewFiles(dir, files)
 }
 
 func newAuthority(now time.Time) (signer, []file, error) {
@@ -85,9 +86,9 @@
 		return signer{}, nil, err
 	}
 	template := &x509.Certificate{
-		SerialNumber:          serial(),
+		SerialNumber:          newSerialNumber(),
 		Subject:               pkix.Name{CommonName: "lovagelane authority"},
-		NotBefore:             now.Add(-clockTolerance),
+		NotBefore:             now.Add(-maxClockSkew),
 		NotAfter:              now.Add(authorityLifetime),
 		IsCA:                  true,
 		MaxPathLenZero:        true,
@@ -102,11 +103,11 @@
 	if s.certificate, err = x509.ParseCertificate(der); err != nil {
 		return signer{}, nil, err
 	}
-	files, err := encode(authorityFile, authorityKeyFile, der, key)
+	files, err := encodePEM(authorityFile, authorityKeyFile, der, key)
 	return s, files, err
 }
 
-func (s signer) issue(role Role, from, to time.Time) ([]file, error) {
+func (s signer) issue(role Role, notBefore, notAfter time.Time) ([]file, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
@@ -116,43 +117,44 @@
 		usages = append(usages, x509.ExtKeyUsageServerAuth)
 	}
 	der, err := s.sign(&x509.Certificate{
-		SerialNumber: serial(),
+		SerialNumber: newSerialNumber(),
 		Subject:      pkix.Name{CommonName: "lovagelane " + string(role), OrganizationalUnit: []string{string(role)}},
-		NotBefore:    from,
-		NotAfter:     to,
+		NotBefore:    notBefore,
+		NotAfter:     notAfter,
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  usages,
 	}, key)
 	if err != nil {
 		return nil, err
 	}
-	return encode(certificateFile(role), keyFile(role), der, key)
+	return encodePEM(certificateFile(role), keyFile(role), der, key)
 }
 
 func (s signer) sign(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, error) {
 	return x509.CreateCertificate(rand.Reader, template, s.certificate, &key.PublicKey, s.key)
 }
 
-func serial() *big.Int {
+func newSerialNumber() *big.Int {
 	b := make([]byte, 16)
-	_, _ = rand.Read(b) // ends the process instead of returning an error
-	b[0] &= 0x7f        // serial numbers are positive
+	_, _ = rand.Read(b) // never returns an error: it crashes the process instead
+	b[0] &= 0x7f        // serial numbers must be positive
 	return new(big.Int).SetBytes(b)
 }
 
-func encode(certificate, private string, der []byte, key *ecdsa.PrivateKey) ([]file, error) {
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+func encodePEM(certificateName, keyName string, certificateDER []byte, key *ecdsa.PrivateKey) ([]file, error) {
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return nil, err
 	}
 	return []file{
-		{certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})},
-		{private, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: secret})},
+		{certificateName, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: certificateDER})},
+		{keyName, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})},
 	}, nil
 }
 
-// writeNew looks for all files first, so that a refusal leaves nothing behind.
-func writeNew(dir string, files []file) error {
+// writeNewFiles creates the files in dir. It first checks that none of them exists, so that an existing file makes it fail
+// before it writes any.
+func writeNewFiles(dir string, files []file) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return Error.New("%v: choose a directory that can be written", err)
 	}
@@ -163,14 +165,14 @@
 		}
 	}
 	for _, f := range files {
-		if err := create(filepath.Join(dir, f.name), f.content); err != nil {
+		if err := createFile(filepath.Join(dir, f.name), f.content); err != nil {
 			return Error.New("%v: choose a directory that can be written", err)
 		}
 	}
 	return nil
 }
 
-func create(path string, content []byte) error {
+func createFile(path string, content []byte) error {
 	w, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
--- a/keys/keyring.go
+++ b/keys/keyring.go
@@ -16,26 +16,27 @@
 // Error is the class of errors about key files; their messages name the file and the remedy.
 var Error = errs.Class("keys")
 
-// Paths are the PEM files of a key and of the authority that signs all keys of the deployment.
+// Paths holds the paths of three PEM files: a certificate, its private key, and the authorities of the deployment.
 type Paths struct{ Certificate, Key, Authority string }
 
-// Keyring holds the current key of a process; its zero value has no key and refuses every connection.
+// Keyring holds the current certificate, private key and authorities of a process; its zero value has none and rejects every
+// connection.
 type Keyring struct {
 	paths   Paths
 	mu      sync.Mutex // serialises Reload
-	current atomic.Pointer[material]
+	current atomic.Pointer[keyMaterial]
 }
 
-// material is what one reading of the files gave; it is never changed.
-type material struct {
+// keyMaterial is the parsed content of the files; it is immutable.
+type keyMaterial struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool
 	digest      [sha256.Size]byte
 }
 
-// Load reads the files and returns an error that names the file and the remedy.
+// Load returns a keyring with the content of the files. Its errors contain the file and the remedy.
 func Load(p Paths) (*Keyring, error) {
-	m, err := read(p, nil)
+	m, err := readKeyMaterial(p, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -44,9 +45,9 @@
 	return k, nil
 }
 
-// Reload reads the files again when they changed and reports whether the key was replaced. When the new files are
-// broken, or only some of them are written yet, the old key stays in use and the error says why. Connections that are
-// open stay open.
+// Reload reads the files again and returns whether their content has changed and is now in use. If the new files are invalid,
+// or only some of them have been written, the old content stays in use and the error contains the reason. Open connections
+// stay open.
 func (k *Keyring) Reload() (bool, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -54,7 +55,7 @@
 	if old == nil {
 		return false, Error.New("no key is loaded: create the keyring with Load")
 	}
-	m, err := read(k.paths, old)
+	m, err := readKeyMaterial(k.paths, old)
 	if err != nil || m == old {
 		return false, err
 	}
@@ -64,14 +65,15 @@
 
 // Role returns the role of the current certificate.
 func (k *Keyring) Role() (Role, error) {
-	certificate, err := k.own()
+	certificate, err := k.currentCertificate()
 	if err != nil {
 		return "", err
 	}
 	return roleOf(certificate.Leaf)
 }
 
-// Expires returns the time when the current certificate or the authority that signed it expires.
+// Expires returns the time when the current certificate or the authority that signed it expires, whichever is earlier, or the
+// zero time if no key is loaded.
 func (k *Keyring) Expires() time.Time {
 	m := k.current.Load()
 	if m == nil {
@@ -80,8 +82,8 @@
 	return m.expires()
 }
 
-// read returns old when the content of the files is the same.
-func read(p Paths, old *material) (*material, error) {
+// readKeyMaterial reads the files and returns old if their content has not changed.
+func readKeyMaterial(p Paths, old *keyMaterial) (*keyMaterial, error) {
 	certificate, err := readFile(p.Certificate, "certificate")
 	if err != nil {
 		return nil, err
@@ -98,7 +100,7 @@
 	if old != nil && old.digest == digest {
 		return old, nil
 	}
-	return parse(p, digest, certificate, key, authority)
+	return parseKeyMaterial(p, digest, certificate, key, authority)
 }
 
 func readFile(path, setting string) ([]byte, error) {
@@ -112,7 +114,7 @@
 	return text, nil
 }
 
-// digestOf hashes each file on its own first, so that bytes that move from one file to the next change the digest.
+// digestOf returns the hash of the hashes of the files, so that moving bytes from one file to the next changes the digest.
 func digestOf(files ...[]byte) [sha256.Size]byte {
 	var all []byte
 	for _, f := range files {
@@ -122,7 +124,7 @@
 	return sha256.Sum256(all)
 }
 
-func parse(p Paths, digest [sha256.Size]byte, certificate, key, authority []byte) (*material, error) {
+func parseKeyMaterial(p Paths, digest [sha256.Size]byte, certificate, key, authority []byte) (*keyMaterial, error) {
 	pair, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
 		return nil, Error.New("%s and %s: %v: replace both with a certificate and the key that belongs to it",
@@ -132,11 +134,11 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &material{certificate: pair, authorities: authorities, digest: digest}
+	m := &keyMaterial{certificate: pair, authorities: authorities, digest: digest}
 	if _, err := roleOf(pair.Leaf); err != nil {
 		return nil, Error.New("%s: %v: issue a certificate with one of these roles", p.Certificate, err)
 	}
-	if _, err := m.chains(pair.Leaf, nil, x509.ExtKeyUsageClientAuth); err != nil {
+	if _, err := m.verify(pair.Leaf, nil, x509.ExtKeyUsageClientAuth); err != nil {
 		return nil, Error.New("%s: %v: issue a certificate that is valid now and signed by an authority in %s",
 			p.Certificate, err, p.Authority)
 	}
@@ -151,7 +153,7 @@
 		if err != nil {
 			return nil, Error.New("%s: certificate %d: %v: replace it with the authority's certificate", path, n+1, err)
 		}
-		// A pool trusts each certificate in it as it is, so a node's certificate in it would bypass the authority.
+		// A pool trusts each of its certificates as a root, so a node's certificate in the pool would bypass the authority.
 		if !c.IsCA {
 			return nil, Error.New("%s: certificate %d (%s) is not an authority: remove it from the file",
 				path, n+1, c.Subject)
@@ -165,31 +167,33 @@
 	return pool, nil
 }
 
-// chains checks a certificate against the authorities and returns the ways in which they signed it.
-func (m *material) chains(
-	leaf *x509.Certificate, between []*x509.Certificate, usage x509.ExtKeyUsage,
+// verify verifies a certificate against the authorities and returns all chains from it to an authority.
+func (m *keyMaterial) verify(
+	leaf *x509.Certificate, intermediates []*x509.Certificate, usage x509.ExtKeyUsage,
 ) ([][]*x509.Certificate, error) {
 	o := x509.VerifyOptions{Roots: m.authorities, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{usage}}
-	for _, c := range between {
+	for _, c := range intermediates {
 		o.Intermediates.AddCert(c)
 	}
 	return leaf.Verify(o)
 }
 
-func (m *material) expires() time.Time {
-	end := m.certificate.Leaf.NotAfter
-	chains, err := m.chains(m.certificate.Leaf, nil, x509.ExtKeyUsageClientAuth)
+// expires returns the earlier expiry of the certificate and of its authority. With several chains, the authority that expires
+// last counts.
+func (m *keyMaterial) expires() time.Time {
+	leafExpiry := m.certificate.Leaf.NotAfter
+	chains, err := m.verify(m.certificate.Leaf, nil, x509.ExtKeyUsageClientAuth)
 	if err != nil {
-		return end
+		return leafExpiry
 	}
-	var longest time.Time
+	var authorityExpiry time.Time
 	for _, chain := range chains {
-		if last := chain[len(chain)-1].NotAfter; last.After(longest) {
-			longest = last
+		if rootExpiry := chain[len(chain)-1].NotAfter; rootExpiry.After(authorityExpiry) {
+			authorityExpiry = rootExpiry
 		}
 	}
-	if longest.Before(end) {
-		return longest
+	if authorityExpiry.Before(leafExpiry) {
+		return authorityExpiry
 	}
-	return end
+	return leafExpiry
 }
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -23,20 +23,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func issued(t *testing.T) string {
+func issueKeys(t *testing.T) string {
 	dir := filepath.Join(t.TempDir(), "keys")
 	require.NoError(t, Issue(dir))
 	return dir
 }
 
-func load(t *testing.T, dir string, role Role) *Keyring {
+func loadKeyring(t *testing.T, dir string, role Role) *Keyring {
 	k, err := Load(PathsIn(dir, role))
 	require.NoError(t, err)
 	return k
 }
 
-// connect returns both ends of a loopback connection; the ends of net.Pipe block when both write, as at a refusal.
-func connect() (server, client net.Conn, err error) {
+// connectLoopback returns both ends of a TCP connection on loopback. net.Pipe would block when both ends write, as they do
+// when a handshake fails.
+func connectLoopback() (server, client net.Conn, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
@@ -49,43 +50,44 @@
 	return server, client, err
 }
 
-// exchange makes one connection that carries one byte each way and returns the errors of both ends.
-func exchange(server, client *tls.Config) (role Role, serverErr, clientErr error) {
-	a, b, err := connect()
+// handshake completes a TLS handshake, sends one byte from the server to the client, and returns the role that the server saw
+// and the errors of both ends.
+func handshake(server, client *tls.Config) (role Role, serverErr, clientErr error) {
+	serverConn, clientConn, err := connectLoopback()
 	if err != nil {
 		return "", err, err
 	}
 	g := kernel.NewGroup(context.Background())
 	g.Go("server", func(context.Context) error {
-		defer a.Close()
-		c := tls.Server(a, server)
+		defer serverConn.Close()
+		c := tls.Server(serverConn, server)
 		if serverErr = c.Handshake(); serverErr == nil {
 			role, serverErr = PeerRole(c.ConnectionState())
 			_, _ = c.Write([]byte{1})
 		}
 		return nil
 	})
-	c := tls.Client(b, client)
+	c := tls.Client(clientConn, client)
 	if clientErr = c.Handshake(); clientErr == nil {
 		_, clientErr = c.Read(make([]byte, 1))
 	}
-	b.Close()
-	return role, serverErr, errorsOf(clientErr, g.Wait())
+	clientConn.Close()
+	return role, serverErr, firstError(clientErr, g.Wait())
 }
 
-func errorsOf(a, b error) error {
+func firstError(a, b error) error {
 	if a != nil {
 		return a
 	}
 	return b
 }
 
-// Guards against keys that do not work with each other, and against a role that gets lost.
+// Guards against issued keys that peers reject, a role that is not the issued one, and a wrong expiry.
 func TestIssuedKeysAreAccepted(t *testing.T) {
-	dir := issued(t)
-	node := load(t, dir, RoleNode)
+	dir := issueKeys(t)
+	node := loadKeyring(t, dir, RoleNode)
 	for _, r := range []Role{RoleNode, RoleOperator} {
-		role, serverErr, clientErr := exchange(node.Server("h1"), load(t, dir, r).Client("h1"))
+		role, serverErr, clientErr := handshake(node.Server("h1"), loadKeyring(t, dir, r).Client("h1"))
 		require.NoError(t, serverErr)
 		require.NoError(t, clientErr)
 		require.Equal(t, r, role)
@@ -93,9 +95,10 @@
 	require.WithinDuration(t, time.Now().Add(keyLifetime), node.Expires(), time.Hour)
 }
 
-// Guards against private keys that others can read, and against a second Issue that cuts off a running deployment.
-func TestIssueProtectsFiles(t *testing.T) {
-	dir := issued(t)
+// Guards against private keys that other users can read, and against a second Issue that replaces the keys of a running
+// deployment, whose processes would then reject each other.
+func TestIssueProtectsFilesAndNeverOverwrites(t *testing.T) {
+	dir := issueKeys(t)
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	var names []string
@@ -117,13 +120,15 @@
 	require.Len(t, entries, 1, "a refused Issue must write nothing")
 }
 
-// Guards against a peer that is let in without a current key of the deployment and a role of it, in both directions.
-func TestPeersAreRefused(t *testing.T) {
-	dir := issued(t)
+// Guards against a server or client that accepts a peer without a valid certificate of the deployment, without the required
+// role or with an old TLS version, and against an empty keyring that accepts peers.
+func TestInvalidPeersAreRefused(t *testing.T) {
+	dir := issueKeys(t)
 	now := time.Now()
 	authority, _, err := newAuthority(now)
 	require.NoError(t, err)
-	// The cases replace the files of a deployment whose authority they hold, so only the named fault is present.
+	// In the cases with trusted set, the node also trusts the authority that signs the peer's certificate, so that the named
+	// fault is the only one.
 	cases := []struct {
 		name, why string
 		role      Role
@@ -136,38 +141,38 @@
 		{"wrong role", "not the role", "backup", -time.Hour, time.Hour, true},
 		{"no role", "not the role", "", -time.Hour, time.Hour, true},
 	}
-	own := load(t, dir, RoleNode)
-	ownAndOther := &Keyring{}
-	m := *own.current.Load()
+	node := loadKeyring(t, dir, RoleNode)
+	nodeTrustingBoth := &Keyring{}
+	m := *node.current.Load()
 	m.authorities = m.authorities.Clone()
 	m.authorities.AddCert(authority.certificate)
-	ownAndOther.current.Store(&m)
+	nodeTrustingBoth.current.Store(&m)
 	for _, tc := range cases {
 		files, err := authority.issue(tc.role, now.Add(tc.from), now.Add(tc.to))
 		require.NoError(t, err)
 		pair, err := tls.X509KeyPair(files[0].content, files[1].content)
 		require.NoError(t, err)
 		peer := &Keyring{}
-		peer.current.Store(&material{certificate: pair, authorities: m.authorities})
-		k := own
+		peer.current.Store(&keyMaterial{certificate: pair, authorities: m.authorities})
+		k := node
 		if tc.trusted {
-			k = ownAndOther
+			k = nodeTrustingBoth
 		}
-		_, serverErr, clientErr := exchange(k.Server(), peer.Client())
+		_, serverErr, clientErr := handshake(k.Server(), peer.Client())
 		require.ErrorContains(t, serverErr, tc.why, "%s: server", tc.name)
 		require.Error(t, clientErr)
-		_, _, clientErr = exchange(peer.Server(), k.Client())
+		_, _, clientErr = handshake(peer.Server(), k.Client())
 		require.ErrorContains(t, clientErr, tc.why, "%s: client", tc.name)
 		require.True(t, Refused.Has(clientErr))
 	}
 
-	_, serverErr, _ := exchange(own.Server(), &tls.Config{InsecureSkipVerify: true})
+	_, serverErr, _ := handshake(node.Server(), &tls.Config{InsecureSkipVerify: true})
 	require.ErrorContains(t, serverErr, "certificate", "no certificate")
-	_, _, clientErr := exchange(load(t, dir, RoleOperator).Server(), own.Client())
+	_, _, clientErr := handshake(loadKeyring(t, dir, RoleOperator).Server(), node.Client())
 	require.ErrorContains(t, clientErr, "peer refused", "an operator's key must not serve")
-	both, err := authority.issue(RoleNode, now.Add(-time.Hour), now.Add(time.Hour))
+	nodeFiles, err := authority.issue(RoleNode, now.Add(-time.Hour), now.Add(time.Hour))
 	require.NoError(t, err)
-	pair, err := tls.X509KeyPair(both[0].content, both[1].content)
+	pair, err := tls.X509KeyPair(nodeFiles[0].content, nodeFiles[1].content)
 	require.NoError(t, err)
 	template := *pair.Leaf
 	template.RawSubject = nil
@@ -175,28 +180,28 @@
 	pair.Certificate[0], err = authority.sign(&template, pair.PrivateKey.(*ecdsa.PrivateKey))
 	require.NoError(t, err)
 	operator := &Keyring{}
-	operator.current.Store(&material{certificate: pair, authorities: m.authorities})
-	_, _, clientErr = exchange(operator.Server(), ownAndOther.Client())
+	operator.current.Store(&keyMaterial{certificate: pair, authorities: m.authorities})
+	_, _, clientErr = handshake(operator.Server(), nodeTrustingBoth.Client())
 	require.ErrorContains(t, clientErr, `server with the role "operator"`, "even when the key's usage allows it")
 
-	old := own.Client()
-	old.MinVersion, old.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
-	_, serverErr, _ = exchange(own.Server(), old)
+	tls12 := node.Client()
+	tls12.MinVersion, tls12.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
+	_, serverErr, _ = handshake(node.Server(), tls12)
 	require.ErrorContains(t, serverErr, "unsupported versions")
-	_, serverErr, _ = exchange((&Keyring{}).Server(), own.Client())
+	_, serverErr, _ = handshake((&Keyring{}).Server(), node.Client())
 	require.ErrorContains(t, serverErr, "no key is loaded")
 }
 
-// Guards against a resumed session that skips the check after the peer's authority was removed.
-func TestResumedSessionsAreChecked(t *testing.T) {
-	dir := issued(t)
-	server, client := load(t, dir, RoleNode), load(t, dir, RoleNode)
+// Guards against a resumed session that is accepted after the peer's authority was removed, with and without session tickets.
+func TestResumedSessionsAreVerified(t *testing.T) {
+	dir := issueKeys(t)
+	server, client := loadKeyring(t, dir, RoleNode), loadKeyring(t, dir, RoleNode)
 	for _, tickets := range []bool{false, true} {
 		s, c := server.Server(), client.Client()
-		s.SessionTicketsDisabled = !tickets && s.SessionTicketsDisabled // when true, only VerifyConnection checks
+		s.SessionTicketsDisabled = !tickets && s.SessionTicketsDisabled // with tickets, only VerifyConnection can reject the peer
 		c.SessionTicketsDisabled, c.ServerName, c.ClientSessionCache = false, "node", tls.NewLRUClientSessionCache(1)
 		for range 2 {
-			_, serverErr, clientErr := exchange(s, c)
+			_, serverErr, clientErr := handshake(s, c)
 			require.NoError(t, serverErr)
 			require.NoError(t, clientErr)
 		}
@@ -204,17 +209,18 @@
 		require.Equal(t, tickets, ok && session != nil, "tickets")
 
 		m := *server.current.Load()
-		m.authorities = load(t, issued(t), RoleNode).current.Load().authorities
-		kept := server.current.Swap(&m)
-		_, serverErr, _ := exchange(s, c)
+		m.authorities = loadKeyring(t, issueKeys(t), RoleNode).current.Load().authorities
+		previous := server.current.Swap(&m)
+		_, serverErr, _ := handshake(s, c)
 		require.ErrorContains(t, serverErr, "peer refused")
-		server.current.Store(kept)
+		server.current.Store(previous)
 	}
 }
 
-// Guards against broken, mixed or missing files that are accepted, and against messages without file and remedy.
-func TestBrokenFilesAreNamed(t *testing.T) {
-	other := issued(t)
+// Guards against accepting invalid, mismatched or missing files, against a failed Reload that drops the old key, and against
+// errors without the file and the remedy.
+func TestInvalidFilesAreReported(t *testing.T) {
+	other := issueKeys(t)
 	cases := []struct{ name, file, content, problem string }{
 		{"missing", "node.pem", "", "the setting certificate"},
 		{"not PEM", "node.pem", "hello", "node.pem and "},
@@ -224,9 +230,9 @@
 		{"authority is empty", "authority.pem", "\n", "holds no PEM certificate: put"},
 	}
 	for _, tc := range cases {
-		dir := issued(t)
+		dir := issueKeys(t)
 		path := filepath.Join(dir, tc.file)
-		k := load(t, dir, RoleNode)
+		k := loadKeyring(t, dir, RoleNode)
 		before := k.current.Load()
 		if tc.content == "" {
 			require.NoError(t, os.Remove(path))
@@ -249,29 +255,29 @@
 	require.ErrorContains(t, err, "set certificate in the settings")
 }
 
-// Guards against a rotation of the authority that refuses a peer, cuts an open connection or needs a restart.
-func TestReloadUnderTraffic(t *testing.T) {
-	first, second := issued(t), issued(t)
+// Guards against a rotation of the authority that makes a handshake fail, closes an open connection or requires a restart.
+func TestAuthorityRotationUnderTraffic(t *testing.T) {
+	first, second := issueKeys(t), issueKeys(t)
 	read := func(dir, name string) []byte {
 		b, err := os.ReadFile(filepath.Join(dir, name))
 		require.NoError(t, err)
 		return b
 	}
-	old := [...]string{string(read(first, "authority.pem")), string(read(second, "authority.pem"))}
-	server, client := load(t, first, RoleNode), load(t, first, RoleNode)
+	authorities := [...]string{string(read(first, "authority.pem")), string(read(second, "authority.pem"))}
+	server, client := loadKeyring(t, first, RoleNode), loadKeyring(t, first, RoleNode)
 	s, c := server.Server("h1"), client.Client("h1")
 
-	a, b, err := connect()
+	a, b, err := connectLoopback()
 	require.NoError(t, err)
-	open, peer := tls.Client(b, c), tls.Server(a, s)
+	openConn, peerConn := tls.Client(b, c), tls.Server(a, s)
 	echo := kernel.NewGroup(context.Background())
 	echo.Go("echo", func(context.Context) error {
 		buf := make([]byte, 1)
 		for {
-			if _, err := peer.Read(buf); err != nil {
+			if _, err := peerConn.Read(buf); err != nil {
 				return nil
 			}
-			if _, err := peer.Write(buf); err != nil {
+			if _, err := peerConn.Write(buf); err != nil {
 				return err
 			}
 		}
@@ -282,16 +288,16 @@
 		traffic.Go("dials", func(ctx context.Context) error {
 			for ctx.Err() == nil {
 				dials.RLock()
-				_, serverErr, clientErr := exchange(s, c)
+				_, serverErr, clientErr := handshake(s, c)
 				dials.RUnlock()
 				if serverErr != nil || clientErr != nil {
-					return errorsOf(serverErr, clientErr)
+					return firstError(serverErr, clientErr)
 				}
 			}
 			return nil
 		})
 	}
-	put := func(name string, content []byte) {
+	writeFile := func(name string, content []byte) {
 		require.NoError(t, os.WriteFile(filepath.Join(first, name), content, 0o600))
 	}
 	reload := func(want bool) {
@@ -300,35 +306,36 @@
 			require.NoError(t, err)
 			require.Equal(t, want, changed)
 		}
-		_, err := open.Write([]byte{1})
+		_, err := openConn.Write([]byte{1})
 		require.NoError(t, err)
-		_, err = open.Read(make([]byte, 1))
+		_, err = openConn.Read(make([]byte, 1))
 		require.NoError(t, err, "the open connection must stay")
 	}
 	reload(false)
-	put("authority.pem", []byte(old[0]+old[1]))
+	writeFile("authority.pem", []byte(authorities[0]+authorities[1]))
 	reload(true)
-	put("node.pem", read(second, "node.pem"))
+	writeFile("node.pem", read(second, "node.pem"))
 	changed, err := server.Reload()
 	require.False(t, changed)
 	require.ErrorContains(t, err, "replace both", "a half-written pair must not take effect")
-	put("node-key.pem", read(second, "node-key.pem"))
+	writeFile("node-key.pem", read(second, "node-key.pem"))
 	reload(true)
-	dials.Lock() // a handshake that began with the old key ends before the old authority is removed
-	put("authority.pem", []byte(old[1]))
+	dials.Lock() // handshakes that began with the old key must end before the old authority is removed
+	writeFile("authority.pem", []byte(authorities[1]))
 	dials.Unlock()
 	reload(true)
 	require.NoError(t, traffic.Stop())
 
-	_, serverErr, _ := exchange(s, load(t, issued(t), RoleNode).Client("h1"))
+	_, serverErr, _ := handshake(s, loadKeyring(t, issueKeys(t), RoleNode).Client("h1"))
 	require.Error(t, serverErr)
-	open.Close()
+	openConn.Close()
 	require.NoError(t, echo.Stop())
 }
 
-// Guards against a rotation of the ticket key that signs with the wrong key or loses one, and weak keys.
-func TestTicketKeys(t *testing.T) {
-	dir := issued(t)
+// Guards against a rotation of the ticket key that changes the order of the keys or drops one, against keys that are too short
+// or not hexadecimal, and against errors that contain a part of a key.
+func TestLoadTicketKeys(t *testing.T) {
+	dir := issueKeys(t)
 	keys, err := LoadTicketKeys(TicketKeyIn(dir))
 	require.NoError(t, err)
 	require.Len(t, keys, 1)
--- a/keys/peer.go
+++ b/keys/peer.go
@@ -8,20 +8,20 @@
 	"github.com/zeebo/errs"
 )
 
-// Refused is the class of errors for peers that are not accepted.
+// Refused is the class of errors for peers whose certificate is rejected.
 var Refused = errs.Class("peer refused")
 
-// Role is what a certificate entitles its holder to be.
+// Role is the role that a certificate grants.
 type Role string
 
 const (
-	// RoleNode is the role of nodes, which may pass on internal headers.
+	// RoleNode is the role of nodes, which may forward internal headers.
 	RoleNode Role = "node"
 	// RoleOperator is the role of the operator's command, which may not act as a server.
 	RoleOperator Role = "operator"
 )
 
-// PeerRole returns the role of the peer of a connection whose handshake is complete.
+// PeerRole returns the role in the peer's certificate. The handshake of the connection must be complete.
 func PeerRole(s tls.ConnectionState) (Role, error) {
 	if len(s.PeerCertificates) == 0 {
 		return "", Refused.New("the peer shows no certificate: start it with a key of this deployment")
@@ -41,26 +41,26 @@
 		c.Subject.OrganizationalUnit, RoleNode, RoleOperator)
 }
 
-// Server returns the TLS settings for listeners: only peers with a key of the deployment are accepted. A reloaded key
-// applies to the next handshake.
+// Server returns the TLS configuration for listeners, which accept only peers with a certificate of the deployment. A
+// reloaded key applies from the next handshake.
 func (k *Keyring) Server(protocols ...string) *tls.Config {
-	c := k.base(protocols)
-	c.ClientAuth = tls.RequireAnyClientCert // VerifyConnection checks it against the current authorities
-	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.own() }
+	c := k.baseConfig(protocols)
+	c.ClientAuth = tls.RequireAnyClientCert // VerifyConnection verifies it against the current authorities
+	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.currentCertificate() }
 	c.VerifyConnection = func(s tls.ConnectionState) error {
-		_, err := k.check(s, x509.ExtKeyUsageClientAuth)
+		_, err := k.verifyPeer(s, x509.ExtKeyUsageClientAuth)
 		return err
 	}
 	return c
 }
 
-// Client returns the TLS settings for connections to other nodes, which must show a node's key of the deployment.
+// Client returns the TLS configuration for connections to nodes, which must present a node's certificate of the deployment.
 func (k *Keyring) Client(protocols ...string) *tls.Config {
-	c := k.base(protocols)
-	c.InsecureSkipVerify = true // VerifyConnection replaces the check by host name
-	c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return k.own() }
+	c := k.baseConfig(protocols)
+	c.InsecureSkipVerify = true // VerifyConnection verifies the chain, but no host name
+	c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return k.currentCertificate() }
 	c.VerifyConnection = func(s tls.ConnectionState) error {
-		role, err := k.check(s, x509.ExtKeyUsageServerAuth)
+		role, err := k.verifyPeer(s, x509.ExtKeyUsageServerAuth)
 		if err == nil && role != RoleNode {
 			return Refused.New("a server with the role %q: start it with a node's key", role)
 		}
@@ -69,13 +69,13 @@
 	return c
 }
 
-// base disables session tickets. VerifyConnection also runs on resumed sessions, but a ticket that was issued before an
-// authority was removed would keep the peer's old certificate in use.
-func (k *Keyring) base(protocols []string) *tls.Config {
+// baseConfig returns a configuration without session tickets. VerifyConnection also runs on resumed sessions, but a ticket
+// issued before an authority was removed would keep the peer's old certificate in use.
+func (k *Keyring) baseConfig(protocols []string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: protocols, SessionTicketsDisabled: true}
 }
 
-func (k *Keyring) own() (*tls.Certificate, error) {
+func (k *Keyring) currentCertificate() (*tls.Certificate, error) {
 	m := k.current.Load()
 	if m == nil {
 		return nil, Error.New("no key is loaded: create the keyring with Load")
@@ -83,7 +83,7 @@
 	return &m.certificate, nil
 }
 
-func (k *Keyring) check(s tls.ConnectionState, usage x509.ExtKeyUsage) (Role, error) {
+func (k *Keyring) verifyPeer(s tls.ConnectionState, usage x509.ExtKeyUsage) (Role, error) {
 	m := k.current.Load()
 	if m == nil {
 		return "", Error.New("no key is loaded: create the keyring with Load")
@@ -93,7 +93,7 @@
 		return "", err
 	}
 	leaf := s.PeerCertificates[0]
-	if _, err := m.chains(leaf, s.PeerCertificates[1:], usage); err != nil {
+	if _, err := m.verify(leaf, s.PeerCertificates[1:], usage); err != nil {
 		return "", Refused.New("%s: %v: start the peer with a current key of this deployment", leaf.Subject, err)
 	}
 	return role, nil
--- a/keys/ticketkey.go
+++ b/keys/ticketkey.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// MinTicketKeyBytes is the least length of a ticket key.
+// MinTicketKeyBytes is the minimum length of a ticket key in bytes.
 const MinTicketKeyBytes = 32
 
-// LoadTicketKeys reads the ticket keys of the deployment, one in hexadecimal a line; empty lines and lines that start
-// with # are skipped. The first key signs tickets, all of them verify. To rotate: add the new key as the second line on
-// all nodes, then make it the first, and remove the old one after the lifetime of a ticket.
+// LoadTicketKeys reads the ticket keys of the deployment from a file with one hexadecimal key on each line; empty lines and
+// lines that begin with # are skipped. The first key signs tickets, and all keys verify them. To rotate, add the new key as
+// the second line on all nodes, then make it the first, and remove the old key after the lifetime of a ticket.
 func LoadTicketKeys(path string) ([][]byte, error) {
 	text, err := readFile(path, "ticket-key")
 	if err != nil {
@@ -24,7 +24,7 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		// The error of hex.DecodeString is left out because it quotes a part of the key.
+		// The message omits the error of hex.DecodeString, which quotes a part of the key.
 		key, err := hex.DecodeString(line)
 		if err != nil || len(key) < MinTicketKeyBytes {
 			return nil, Error.New("%s:%d is not a key: write at least %d random bytes as hexadecimal digits",
