--- a/inventory/config_test.go
+++ b/inventory/config_test.go
@@ -79,7 +79,7 @@
 func inv(n int) inventory.Line   { return inventory.Line{File: "inventory.ini", Number: n} }
 func rules(n int) inventory.Line { return inventory.Line{File: "rules.ini", Number: n} }
 
-// Guards against a request that gets another rule than the narrowest one, or a limit that names a wrong line.
+// Guards against a request that does not get its most specific rule, or a setting that refers to a wrong line.
 func TestOperation(t *testing.T) {
 	cfg := valid(t)
 	order := inventory.Operation{Name: "order-seedlings", Service: "nursery", Class: "orders", Rank: 1, NonIdempotent: true,
@@ -95,7 +95,7 @@
 	require.Equal(t, inventory.Operation{}, cfg.Operation("imagery", "GET", "/"))
 }
 
-// Guards against lookups on the path of each call that allocate.
+// Guards against allocations in the lookups that run for each call.
 func TestLookupsDoNotAllocate(t *testing.T) {
 	cfg := valid(t)
 	require.Zero(t, testing.AllocsPerRun(100, func() {
@@ -107,7 +107,7 @@
 	}))
 }
 
-// Guards against limits that lose their override, their default or the line that they came from.
+// Guards against limits that lose their override, their inherited or default value, or the line that sets them.
 func TestLimits(t *testing.T) {
 	cfg := valid(t)
 	group, ok := cfg.BackendServers("nursery", "rn-1")
@@ -116,7 +116,7 @@
 		Line: inv(16), SlotsLine: inv(18), ConnectionsLine: inv(10)}, group)
 	service, ok := cfg.Service("nursery")
 	require.True(t, ok)
-	require.Equal(t, inventory.Service{Name: "nursery", Timeout: 2 * time.Second, MaxBody: inventory.DefaultMaxBody,
+	require.Equal(t, inventory.Service{Name: "nursery", Timeout: 2 * time.Second, MaxBody: inventory.DefaultMaxBodyBytes,
 		Calls: []string{"payments"}, Line: inv(8), TimeoutLine: inv(11), MaxBodyLine: inv(8)}, service)
 	region, ok := cfg.Region("ce-1")
 	require.True(t, ok)
@@ -126,7 +126,8 @@
 	require.Zero(t, cfg.Version())
 }
 
-// Guards against examples that are not accepted or that do not protect the important kinds.
+// Guards against example files that Parse rejects, that have wrong sizes, or whose important requests have a rank above 2
+// or are not marked non-idempotent.
 func TestExamples(t *testing.T) {
 	important := map[string][]string{
 		"restinga-viva": {"payments POST /payments", "nursery POST /orders"},
@@ -152,8 +153,8 @@
 			require.True(t, op.NonIdempotent, r)
 		}
 		require.Len(t, cfg.AvailabilityZones(), 6)
-		require.Len(t, cfg.Groups(), 24)
-		for _, g := range cfg.Groups() {
+		require.Len(t, cfg.BackendServerGroups(), 24)
+		for _, g := range cfg.BackendServerGroups() {
 			size, ok := sizes[name+" "+g.Service]
 			if !ok {
 				size = sizes[name]
--- a/inventory/doc.go
+++ b/inventory/doc.go
@@ -1,3 +1,3 @@
-// Package inventory reads the operators' inventory and rules into one immutable configuration in which every setting
-// knows its file and line, checks them, and compares two configurations.
+// Package inventory parses and validates the operators' inventory and rules files into one immutable configuration, in
+// which every setting records the file and line that it came from, and computes the difference of two configurations.
 package inventory
--- a/inventory/graph.go
+++ b/inventory/graph.go
@@ -8,20 +8,22 @@
 	"lovagelane/call"
 )
 
-// graph walks the call graph; a service is on the path while its calls are walked, and done afterwards.
-type graph struct {
+// graphChecker searches the call graph depth-first. A service is in path while its callees are visited and in depth once
+// they are done.
+type graphChecker struct {
 	b     *builder
 	path  []string
 	depth map[string]int
 }
 
-// checkGraph reports loops of the call graph, one for each service that closes any, and a chain that is too deep to be carried.
+// checkGraph reports cycles in the call graph, at most one for each service with a back edge, and one call chain that
+// exceeds call.MaxDepth, the largest depth that a call can carry.
 func (b *builder) checkGraph() {
-	g := graph{b: b, depth: map[string]int{}}
+	g := graphChecker{b: b, depth: map[string]int{}}
 	reported := false
 	for _, s := range b.services {
-		// Services deeper than the bound are usually called by others that are deeper still, so one report is enough.
-		if depth := g.walk(s.Name); depth > call.MaxDepth && !reported {
+		// The callers of a service beyond the limit exceed it too, so one report is enough.
+		if depth := g.longestChain(s.Name); depth > call.MaxDepth && !reported {
 			reported = true
 			b.Add(s.Line, fmt.Sprintf("a chain of calls from service %s is %d deep", s.Name, depth),
 				fmt.Sprintf("shorten it to %d", call.MaxDepth))
@@ -29,8 +31,8 @@
 	}
 }
 
-// walk returns the number of services on the longest chain that begins with the service.
-func (g *graph) walk(name string) int {
+// longestChain returns the number of services on the longest call chain that begins with the service.
+func (g *graphChecker) longestChain(name string) int {
 	if depth, ok := g.depth[name]; ok {
 		return depth
 	}
@@ -40,26 +42,26 @@
 	}
 	g.path = append(g.path, name)
 	depth, reported := 0, false
-	for _, called := range entry.service.Calls {
-		if i := slices.Index(g.path, called); i >= 0 {
+	for _, callee := range entry.service.Calls {
+		if i := slices.Index(g.path, callee); i >= 0 {
 			if reported {
 				continue
 			}
 			reported = true
-			g.b.Add(g.b.stated[name].LineOf("calls"),
-				"the call graph has a loop: "+chain(append(slices.Clone(g.path[i:]), called)),
-				fmt.Sprintf("remove %s from the calls of %s, or another call of the loop", called, name))
+			g.b.Add(g.b.serviceSections[name].LineOf("calls"),
+				"the call graph has a loop: "+formatChain(append(slices.Clone(g.path[i:]), callee)),
+				fmt.Sprintf("remove %s from the calls of %s, or another call of the loop", callee, name))
 			continue
 		}
-		depth = max(depth, g.walk(called))
+		depth = max(depth, g.longestChain(callee))
 	}
 	g.path = g.path[:len(g.path)-1]
 	g.depth[name] = depth + 1
 	return depth + 1
 }
 
-// chain writes a chain of services on one readable line and leaves out the middle of a long one.
-func chain(names []string) string {
+// formatChain formats a call chain on one line and omits the middle of a long one.
+func formatChain(names []string) string {
 	if len(names) > maxNamesShown {
 		half := maxNamesShown / 2
 		names = slices.Concat(names[:half], []string{"..."}, names[len(names)-half:])
--- a/inventory/match.go
+++ b/inventory/match.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// matcher finds the rule of one service for a request without allocating or looking at every rule. The rule with the
-// narrower path wins, and for the same path a rule for one method wins over a rule for all methods. The check for
-// ambiguous rules makes this the narrowest rule in every respect.
+// matcher finds the request rule of one service by exact path and then by longest prefix, without allocations or a scan
+// of all rules. For the same path, a rule for one method takes precedence over a rule for all methods. Since checkOverlaps
+// rejects ambiguous rules, the rule found is the most specific one in both path and method.
 type matcher struct {
-	exact    map[string]methods
-	prefixes map[string]methods
-	// lengths are the different lengths of the prefixes, longest first.
-	lengths []int
-	other   Operation
+	exact    map[string]pathRules
+	prefixes map[string]pathRules
+	// prefixLengths holds the distinct lengths of the prefixes, longest first.
+	prefixLengths []int
+	fallback      Operation
 }
 
-// methods are the rules for one path.
-type methods struct {
+// pathRules holds the rules for one path.
+type pathRules struct {
 	byMethod []methodRule
 	any      *Operation
 }
@@ -27,7 +27,7 @@
 	operation *Operation
 }
 
-func (m methods) find(method string) *Operation {
+func (m pathRules) find(method string) *Operation {
 	for i := range m.byMethod {
 		if m.byMethod[i].method == method {
 			return m.byMethod[i].operation
@@ -36,7 +36,7 @@
 	return m.any
 }
 
-func (m methods) with(method string, op *Operation) methods {
+func (m pathRules) withRule(method string, op *Operation) pathRules {
 	if method == "" {
 		m.any = op
 		return m
@@ -45,23 +45,23 @@
 	return m
 }
 
-func (m *matcher) add(r Request) {
+func (m *matcher) add(r RequestRule) {
 	op := r.Operation
 	prefix, isPrefix := strings.CutSuffix(r.Path, "*")
 	if !isPrefix {
 		if m.exact == nil {
-			m.exact = map[string]methods{}
+			m.exact = map[string]pathRules{}
 		}
-		m.exact[r.Path] = m.exact[r.Path].with(r.Method, &op)
+		m.exact[r.Path] = m.exact[r.Path].withRule(r.Method, &op)
 		return
 	}
 	if m.prefixes == nil {
-		m.prefixes = map[string]methods{}
+		m.prefixes = map[string]pathRules{}
 	}
-	m.prefixes[prefix] = m.prefixes[prefix].with(r.Method, &op)
-	if !slices.Contains(m.lengths, len(prefix)) {
-		m.lengths = append(m.lengths, len(prefix))
-		slices.SortFunc(m.lengths, func(a, b int) int { return b - a })
+	m.prefixes[prefix] = m.prefixes[prefix].withRule(r.Method, &op)
+	if !slices.Contains(m.prefixLengths, len(prefix)) {
+		m.prefixLengths = append(m.prefixLengths, len(prefix))
+		slices.SortFunc(m.prefixLengths, func(a, b int) int { return b - a })
 	}
 }
 
@@ -69,11 +69,11 @@
 	if i := strings.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	// A rule for /orders is also for /orders/: a slash at the end must not turn a non-idempotent request into another one.
+	// A rule for /orders also matches /orders/. Otherwise a trailing slash would make a non-idempotent request lose its rule.
 	if op := m.exact[trimSlash(path)].find(method); op != nil {
 		return op
 	}
-	for _, n := range m.lengths {
+	for _, n := range m.prefixLengths {
 		if n > len(path) {
 			continue
 		}
@@ -81,7 +81,7 @@
 			return op
 		}
 	}
-	return &m.other
+	return &m.fallback
 }
 
 func trimSlash(path string) string {
@@ -91,9 +91,9 @@
 	return path
 }
 
-// pathWithin reports whether every path that a is for counts as a path that b is for. An exact rule for /orders, which is
-// also for /orders/, counts as within /orders/*.
-func pathWithin(a, b Request) bool {
+// pathWithin reports whether b covers every path that a matches. An exact rule for /orders also matches /orders/ and
+// counts as within /orders/*.
+func pathWithin(a, b RequestRule) bool {
 	prefix, isPrefix := strings.CutSuffix(b.Path, "*")
 	if !isPrefix {
 		return a.Path == b.Path
@@ -102,9 +102,9 @@
 	return strings.HasPrefix(path, prefix) || !aIsPrefix && path+"/" == prefix
 }
 
-// crossing returns the method and path that two rules share when neither is narrower than the other: one has the narrower
-// path and the other the narrower method.
-func crossing(a, b Request) (method, path string, ok bool) {
+// ambiguousOverlap returns the method and path that two rules share if neither is more specific: one has the narrower path
+// and the other the narrower method.
+func ambiguousOverlap(a, b RequestRule) (method, path string, ok bool) {
 	narrow, wide := a, b
 	if !pathWithin(a, b) {
 		narrow, wide = b, a
--- a/inventory/parse.go
+++ b/inventory/parse.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// DefaultMaxBody is the largest request body of a service that states none, in bytes.
-	DefaultMaxBody = 1 << 20
-	// maxTimeout is the longest time that travels with a call.
+	// DefaultMaxBodyBytes is the maximum request body size of a service without max-body.
+	DefaultMaxBodyBytes = 1 << 20
+	// maxTimeout is the longest deadline that is propagated with a call.
 	maxTimeout = time.Hour
-	// maxBody is the largest max-body, in bytes.
-	maxBody = 1 << 30
-	// maxSlots is the largest number that fits the load report of a backend server.
+	// maxBodyBytes is the largest accepted value of max-body.
+	maxBodyBytes = 1 << 30
+	// maxSlots is the largest number that fits into the load report of a backend server.
 	maxSlots = 1<<16 - 1
 	// maxConnections is the number of ports of one address.
 	maxConnections = 1<<16 - 1
-	// maxCount is the largest number of backend servers in one availability zone.
-	maxCount = 10000
-	// reservedService is the first path segment of the nodes' own interface to callers.
-	reservedService = "lovagelane"
+	// maxGroupSize is the maximum number of backend servers of a service in one availability zone.
+	maxGroupSize = 10000
+	// reservedServiceName is the first path segment of the nodes' own HTTP interface, so no service may have this name.
+	reservedServiceName = "lovagelane"
 )
 
 var inventoryKinds = []setting.Kind{
@@ -44,8 +44,8 @@
 	{Name: "objective", Names: []string{"service"}, Required: []string{"answered", "within"}},
 }
 
-// Parse reads inventory.ini and rules.ini and returns either a configuration or every problem found, in the order of
-// files and lines.
+// Parse parses inventory.ini and rules.ini and returns either a configuration or all problems found, sorted by file and
+// line.
 func Parse(files []File) (*Config, []Problem) {
 	b := newBuilder()
 	inventory, rules := b.read(files)
@@ -56,30 +56,30 @@
 	b.checkGraph()
 	b.readRules(rules)
 	if len(b.Problems) > 0 {
-		b.Problems.Sort(b.order...)
+		b.Problems.Sort(b.fileOrder...)
 		return nil, slices.Compact(b.Problems)
 	}
-	b.finish()
+	b.buildMatchers()
 	return &Config{files: slices.Clone(files), tables: b.tables}, nil
 }
 
-// builder fills the tables from sections; entries that are referred to but have problems of their own stay in the tables
-// so that one mistake is not reported at every reference.
+// builder fills the tables from the parsed sections. Invalid entries stay in the tables, so that an error in one entry is
+// not reported again at every reference to it.
 type builder struct {
 	setting.Collector
 	*tables
-	// order holds the names of the files, for sorting problems.
-	order         []string
+	// fileOrder holds the names of the files, for sorting problems.
+	fileOrder     []string
 	inventoryFile string
 	rulesFile     string
 
 	region map[string]Region
 	class  map[string]Class
-	// stated holds the section of each service.
-	stated  map[string]setting.Section
-	byOwner map[string][]Request
-	// broken is set when a file could not be read, so that what it lacks is not reported.
-	broken bool
+	// serviceSections holds the section of each service.
+	serviceSections map[string]setting.Section
+	rulesByService  map[string][]RequestRule
+	// incomplete is set if a file is missing or the files are too large, so that missing sections are not reported.
+	incomplete bool
 }
 
 func newBuilder() *builder {
@@ -91,28 +91,28 @@
 			caller:     map[string]Caller{},
 			objective:  map[string]Objective{},
 		},
-		region:  map[string]Region{},
-		class:   map[string]Class{},
-		stated:  map[string]setting.Section{},
-		byOwner: map[string][]Request{},
+		region:          map[string]Region{},
+		class:           map[string]Class{},
+		serviceSections: map[string]setting.Section{},
+		rulesByService:  map[string][]RequestRule{},
 	}
 }
 
-// read finds the two files and returns their sections.
+// read checks the names and the total size of the files and returns the sections of both.
 func (b *builder) read(files []File) (inventory, rules []setting.Section) {
-	size := 0
+	totalBytes := 0
 	for _, f := range files {
-		b.order = append(b.order, f.Name)
-		size += len(f.Name) + len(f.Text)
+		b.fileOrder = append(b.fileOrder, f.Name)
+		totalBytes += len(f.Name) + len(f.Text)
 		if base := path.Base(f.Name); base != InventoryFile && base != RulesFile {
 			b.Add(Line{File: f.Name, Number: 1}, "the file is neither inventory nor rules",
 				fmt.Sprintf("name it %s or %s", InventoryFile, RulesFile))
 		}
 	}
-	if size > MaxText {
-		b.broken = true
-		b.Add(Line{File: files[0].Name, Number: 1}, fmt.Sprintf("the files have %d bytes together", size),
-			fmt.Sprintf("keep them within %d bytes", MaxText))
+	if totalBytes > MaxTotalBytes {
+		b.incomplete = true
+		b.Add(Line{File: files[0].Name, Number: 1}, fmt.Sprintf("the files have %d bytes together", totalBytes),
+			fmt.Sprintf("keep them within %d bytes", MaxTotalBytes))
 		return nil, nil
 	}
 	b.inventoryFile, inventory = b.readFile(files, InventoryFile, inventoryKinds)
@@ -129,8 +129,8 @@
 	}
 	switch len(found) {
 	case 0:
-		b.broken = true
-		b.order = append(b.order, base)
+		b.incomplete = true
+		b.fileOrder = append(b.fileOrder, base)
 		b.Add(Line{File: base, Number: 1}, "the file is missing", "add it")
 		return base, nil
 	case 1:
@@ -142,20 +142,20 @@
 	return found[0].Name, sections
 }
 
-// require reports a missing kind of section.
-func (b *builder) require(file string, n int, header, remedy string) {
-	if n == 0 && !b.broken {
+// requireSection reports a kind of section of which there is none.
+func (b *builder) requireSection(file string, n int, header, remedy string) {
+	if n == 0 && !b.incomplete {
 		b.Add(Line{File: file, Number: 1}, "there is no "+header+" section", remedy)
 	}
 }
 
-func ofKind(sections []setting.Section, kind string) []setting.Section {
+func sectionsOfKind(sections []setting.Section, kind string) []setting.Section {
 	return slices.DeleteFunc(slices.Clone(sections), func(s setting.Section) bool { return s.Kind != kind })
 }
 
 func (b *builder) readRegions(sections []setting.Section) {
 	var store Line
-	for _, s := range ofKind(sections, "region") {
+	for _, s := range sectionsOfKind(sections, "region") {
 		r := Region{Name: s.Names[0], Store: b.Bool(s, "store"), Line: s.Line}
 		if r.Store && store.Number > 0 {
 			b.Add(s.LineOf("store"), "a second region has the store", fmt.Sprintf("keep store = yes here or on line %d", store.Number))
@@ -164,48 +164,48 @@
 			store = s.LineOf("store")
 		}
 		sub := Subject{Section: s.Header(), Place: r.Name}
-		b.note(sub, s)
-		b.noteKey(sub, s, "store", yesNo(r.Store))
+		b.recordSection(sub, s)
+		b.recordKey(sub, s, "store", yesNo(r.Store))
 		if _, ok := b.region[r.Name]; !ok {
 			b.region[r.Name] = r
 			b.regions = append(b.regions, r)
 		}
 	}
-	b.require(b.inventoryFile, len(b.regions), "[region NAME]", "add one for each region")
+	b.requireSection(b.inventoryFile, len(b.regions), "[region NAME]", "add one for each region")
 }
 
 func (b *builder) readZones(sections []setting.Section) {
-	for _, s := range ofKind(sections, "availability-zone") {
+	for _, s := range sectionsOfKind(sections, "availability-zone") {
 		z := AvailabilityZone{Name: s.Names[0], Region: b.Name(s, "region"), Line: s.Line}
-		known(b, s, "region", z.Region, "region", b.region)
+		checkReference(b, s, "region", z.Region, "region", b.region)
 		if _, ok := b.region[z.Name]; ok {
 			b.Add(s.Line, fmt.Sprintf("%s is the name of a region too", z.Name), "give the availability zone another name")
 		}
 		sub := Subject{Section: s.Header(), Place: z.Name}
-		b.note(sub, s)
-		b.noteKey(sub, s, "region", z.Region)
+		b.recordSection(sub, s)
+		b.recordKey(sub, s, "region", z.Region)
 		if _, ok := b.zoneRegion[z.Name]; !ok {
 			b.zoneRegion[z.Name] = z.Region
 			b.zones = append(b.zones, z)
 		}
 	}
-	b.require(b.inventoryFile, len(b.zones), "[availability-zone NAME]", "add one for each availability zone")
+	b.requireSection(b.inventoryFile, len(b.zones), "[availability-zone NAME]", "add one for each availability zone")
 }
 
 func (b *builder) readServices(sections []setting.Section) {
-	for _, s := range ofKind(sections, "service") {
+	for _, s := range sectionsOfKind(sections, "service") {
 		service := b.readService(s)
 		if _, ok := b.service[service.Name]; ok {
 			continue
 		}
 		b.service[service.Name] = &serviceEntry{service: service}
-		b.stated[service.Name] = s
+		b.serviceSections[service.Name] = s
 		b.services = append(b.services, service)
 	}
-	b.require(b.inventoryFile, len(b.service), "[service NAME]", "add one for each service")
+	b.requireSection(b.inventoryFile, len(b.service), "[service NAME]", "add one for each service")
 	for _, service := range b.services {
-		for _, called := range service.Calls {
-			known(b, b.stated[service.Name], "calls", called, "service", b.service)
+		for _, callee := range service.Calls {
+			checkReference(b, b.serviceSections[service.Name], "calls", callee, "service", b.service)
 		}
 	}
 }
@@ -214,40 +214,40 @@
 	service := Service{
 		Name:        s.Names[0],
 		Timeout:     b.Duration(s, "timeout", maxTimeout),
-		MaxBody:     b.Bytes(s, "max-body", maxBody),
+		MaxBody:     b.Bytes(s, "max-body", maxBodyBytes),
 		Calls:       b.Names(s, "calls"),
 		Line:        s.Line,
 		TimeoutLine: s.LineOf("timeout"),
 		MaxBodyLine: s.LineOf("max-body"),
 	}
-	if service.Name == reservedService {
-		b.Add(s.Line, fmt.Sprintf("%s is the name of the nodes' own interface", reservedService), "give the service another name")
+	if service.Name == reservedServiceName {
+		b.Add(s.Line, fmt.Sprintf("%s is the name of the nodes' own interface", reservedServiceName), "give the service another name")
 	}
 	sub := Subject{Section: s.Header(), Service: service.Name}
-	b.note(sub, s)
-	b.noteKey(sub, s, "timeout", service.Timeout.String())
+	b.recordSection(sub, s)
+	b.recordKey(sub, s, "timeout", service.Timeout.String())
 	if service.MaxBody == 0 {
-		service.MaxBody = DefaultMaxBody
-		b.noteFrom(sub, "max-body", setting.FormatBytes(DefaultMaxBody), s.Line, SourceDefault)
+		service.MaxBody = DefaultMaxBodyBytes
+		b.recordSetting(sub, "max-body", setting.FormatBytes(DefaultMaxBodyBytes), s.Line, SourceDefault)
 	} else {
-		b.noteKey(sub, s, "max-body", setting.FormatBytes(service.MaxBody))
+		b.recordKey(sub, s, "max-body", setting.FormatBytes(service.MaxBody))
 	}
-	b.noteKey(sub, s, "calls", strings.Join(slices.Sorted(slices.Values(service.Calls)), ", "))
-	b.noteKey(sub, s, "slots", fmt.Sprint(b.Int(s, "slots", 1, maxSlots)))
-	b.noteKey(sub, s, "connections", fmt.Sprint(b.Int(s, "connections", 1, maxConnections)))
+	b.recordKey(sub, s, "calls", strings.Join(slices.Sorted(slices.Values(service.Calls)), ", "))
+	b.recordKey(sub, s, "slots", fmt.Sprint(b.Int(s, "slots", 1, maxSlots)))
+	b.recordKey(sub, s, "connections", fmt.Sprint(b.Int(s, "connections", 1, maxConnections)))
 	return service
 }
 
 func (b *builder) readBackendServers(sections []setting.Section) {
-	for _, s := range ofKind(sections, "backend-servers") {
-		g := BackendServers{Service: s.Names[0], AvailabilityZone: s.Names[1], Count: b.Int(s, "count", 1, maxCount), Line: s.Line}
-		known(b, s, "", g.Service, "service", b.service)
-		known(b, s, "", g.AvailabilityZone, "availability zone", b.zoneRegion)
+	for _, s := range sectionsOfKind(sections, "backend-servers") {
+		g := BackendServers{Service: s.Names[0], AvailabilityZone: s.Names[1], Count: b.Int(s, "count", 1, maxGroupSize), Line: s.Line}
+		checkReference(b, s, "", g.Service, "service", b.service)
+		checkReference(b, s, "", g.AvailabilityZone, "availability zone", b.zoneRegion)
 		sub := Subject{Section: s.Header(), Service: g.Service, Place: g.AvailabilityZone}
-		b.note(sub, s)
-		b.noteKey(sub, s, "count", fmt.Sprint(g.Count))
-		g.Slots, g.SlotsLine = b.limit(sub, s, "slots", maxSlots)
-		g.Connections, g.ConnectionsLine = b.limit(sub, s, "connections", maxConnections)
+		b.recordSection(sub, s)
+		b.recordKey(sub, s, "count", fmt.Sprint(g.Count))
+		g.Slots, g.SlotsLine = b.groupLimit(sub, s, "slots", maxSlots)
+		g.Connections, g.ConnectionsLine = b.groupLimit(sub, s, "connections", maxConnections)
 		key := groupKey{g.Service, g.AvailabilityZone}
 		if _, ok := b.group[key]; !ok {
 			b.group[key] = g
@@ -262,46 +262,46 @@
 	}
 }
 
-// limit returns a limit of a group, or the one that its service states, and the line that it came from.
-func (b *builder) limit(sub Subject, s setting.Section, key string, most int) (int, Line) {
+// groupLimit returns a limit that the group sets or inherits from its service, and the line that sets it.
+func (b *builder) groupLimit(sub Subject, s setting.Section, key string, maximum int) (int, Line) {
 	if _, ok := s.Value(key); ok {
-		n := b.Int(s, key, 1, most)
-		b.noteKey(sub, s, key, fmt.Sprint(n))
+		n := b.Int(s, key, 1, maximum)
+		b.recordKey(sub, s, key, fmt.Sprint(n))
 		return n, s.LineOf(key)
 	}
-	defaults, ok := b.stated[sub.Service]
+	serviceSection, ok := b.serviceSections[sub.Service]
 	if !ok {
 		return 0, s.Line
 	}
-	if defaults.LineOf(key) == defaults.Line && s.LineOf(key) == s.Line {
-		b.Add(s.Line, fmt.Sprintf("neither [%s] nor [%s] states %s", s.Header(), defaults.Header(), key),
+	if serviceSection.LineOf(key) == serviceSection.Line && s.LineOf(key) == s.Line {
+		b.Add(s.Line, fmt.Sprintf("neither [%s] nor [%s] states %s", s.Header(), serviceSection.Header(), key),
 			fmt.Sprintf("add a line %s = ... to one of them", key))
 		return 0, s.Line
 	}
-	// A problem of the service's own value is reported at the service.
-	var quiet setting.Collector
-	n := quiet.Int(defaults, key, 1, most)
-	at := defaults.LineOf(key)
-	b.noteFrom(sub, key, fmt.Sprint(n), at, SourceInherited)
+	// readService has already reported problems with the service's value.
+	var discarded setting.Collector
+	n := discarded.Int(serviceSection, key, 1, maximum)
+	at := serviceSection.LineOf(key)
+	b.recordSetting(sub, key, fmt.Sprint(n), at, SourceInherited)
 	return n, at
 }
 
-// known reports a name that is not in the table, unless it was reported as malformed and is empty.
-func known[V any](b *builder, s setting.Section, key, name, what string, table map[string]V) {
+// checkReference reports a name that is not in the table. It skips an empty name, which was reported as malformed.
+func checkReference[V any](b *builder, s setting.Section, key, name, what string, table map[string]V) {
 	if _, ok := table[name]; ok || name == "" {
 		return
 	}
 	remedy := fmt.Sprintf("add a section [%s %s]", strings.ReplaceAll(what, " ", "-"), name)
 	if len(table) > 0 && len(table) <= maxNamesShown {
-		remedy += ", or use one of " + strings.Join(keys(table), ", ")
+		remedy += ", or use one of " + strings.Join(sortedKeys(table), ", ")
 	}
 	b.Add(s.LineOf(key), fmt.Sprintf("there is no %s %s", what, name), remedy)
 }
 
-// maxNamesShown keeps the remedy of an unknown name on one readable line.
+// maxNamesShown bounds the names listed in a message, to keep it readable on one line.
 const maxNamesShown = 12
 
-func keys[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
--- a/inventory/parse_test.go
+++ b/inventory/parse_test.go
@@ -11,7 +11,7 @@
 	"lovagelane/inventory"
 )
 
-// readCase reads the files of a directory and what is expected of them.
+// readCase reads the input files of a test directory and the expected problems.
 func readCase(t testing.TB, dir string) (files []inventory.File, want string) {
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -34,7 +34,7 @@
 	return dirs
 }
 
-// Guards against a mistake that is accepted, reported without its line, or hides the other mistakes of the files.
+// Guards against an error in the files that is accepted, reported without its line, or hides other errors.
 func TestProblems(t *testing.T) {
 	for _, dir := range cases(t) {
 		t.Run(filepath.Base(dir), func(t *testing.T) {
--- a/inventory/plan.go
+++ b/inventory/plan.go
@@ -9,55 +9,55 @@
 
 // Change is one difference between two configurations: Added, Removed or Changed.
 type Change interface {
-	change()
-	// Of returns what the change is about.
+	isChange()
+	// Of returns the subject of the change.
 	Of() Subject
 	String() string
 }
 
-// Added means that the new configuration has a section that the old one lacks.
+// Added is a section that only the new configuration has.
 type Added struct {
 	Subject  Subject
 	Settings []Setting
 }
 
-// Removed means that the new configuration lacks a section of the old one.
+// Removed is a section that only the old configuration has.
 type Removed struct {
 	Subject  Subject
 	Settings []Setting
 }
 
-// Changed means that a setting in force differs; a side that lacks it is the zero Setting.
+// Changed is a setting whose effective value differs. Old or New is the zero Setting if that configuration lacks it.
 type Changed struct {
 	Subject  Subject
 	Key      string
 	Old, New Setting
 }
 
-func (Added) change()   {}
-func (Removed) change() {}
-func (Changed) change() {}
+func (Added) isChange()   {}
+func (Removed) isChange() {}
+func (Changed) isChange() {}
 
-// Of returns what is added.
+// Of returns the added subject.
 func (c Added) Of() Subject { return c.Subject }
 
-// Of returns what is removed.
+// Of returns the removed subject.
 func (c Removed) Of() Subject { return c.Subject }
 
-// Of returns what is changed.
+// Of returns the subject of the changed setting.
 func (c Changed) Of() Subject { return c.Subject }
 
-// String returns the change on one line.
+// String formats the change on one line.
 func (c Added) String() string {
-	return fmt.Sprintf("+ %s%s (%s)", c.Subject.Section, values(c.Settings), c.Settings[0].Line)
+	return fmt.Sprintf("+ %s%s (%s)", c.Subject.Section, formatValues(c.Settings), c.Settings[0].Line)
 }
 
-// String returns the change on one line.
+// String formats the change on one line.
 func (c Removed) String() string {
-	return fmt.Sprintf("- %s%s (was %s)", c.Subject.Section, values(c.Settings), c.Settings[0].Line)
+	return fmt.Sprintf("- %s%s (was %s)", c.Subject.Section, formatValues(c.Settings), c.Settings[0].Line)
 }
 
-// String returns the change on one line.
+// String formats the change on one line.
 func (c Changed) String() string {
 	at := c.New.Line
 	if at == (Line{}) {
@@ -73,7 +73,7 @@
 	return s.Value
 }
 
-func values(settings []Setting) string {
+func formatValues(settings []Setting) string {
 	var words []string
 	for _, s := range settings {
 		if s.Key != "" {
@@ -86,11 +86,12 @@
 	return ": " + strings.Join(words, ", ")
 }
 
-// Plan returns what the new configuration changes in force, with inherited settings at each place that they reach. First
-// come the sections of no single service, by place, then each service, by place. A renamed section is a removed and an
-// added one. The old configuration may be nil.
+// Plan returns the changes of effective settings from the old configuration to the new one. A change of an inherited
+// setting is listed for each place that inherits it. Changes are sorted by service and then by place; sections that belong
+// to no single service come first. A renamed section appears as one removed and one added section. The old configuration
+// may be nil.
 func Plan(old, next *Config) []Change {
-	before, after := bySubject(old), bySubject(next)
+	before, after := settingsBySubject(old), settingsBySubject(next)
 	var subjects []Subject
 	for sub := range before {
 		subjects = append(subjects, sub)
@@ -105,12 +106,12 @@
 	})
 	var changes []Change
 	for _, sub := range subjects {
-		changes = append(changes, planSubject(sub, before[sub], after[sub])...)
+		changes = append(changes, diffSubject(sub, before[sub], after[sub])...)
 	}
 	return changes
 }
 
-func bySubject(c *Config) map[Subject][]Setting {
+func settingsBySubject(c *Config) map[Subject][]Setting {
 	settings := map[Subject][]Setting{}
 	if c == nil {
 		return settings
@@ -121,7 +122,7 @@
 	return settings
 }
 
-func planSubject(sub Subject, old, next []Setting) []Change {
+func diffSubject(sub Subject, old, next []Setting) []Change {
 	switch {
 	case len(old) == 0:
 		return []Change{Added{Subject: sub, Settings: next}}
@@ -130,19 +131,19 @@
 	}
 	var changes []Change
 	for _, s := range next {
-		if before := find(old, s.Key); before.Value != s.Value || before == (Setting{}) {
+		if before := findSetting(old, s.Key); before.Value != s.Value || before == (Setting{}) {
 			changes = append(changes, Changed{Subject: sub, Key: s.Key, Old: before, New: s})
 		}
 	}
 	for _, s := range old {
-		if find(next, s.Key) == (Setting{}) {
+		if findSetting(next, s.Key) == (Setting{}) {
 			changes = append(changes, Changed{Subject: sub, Key: s.Key, Old: s})
 		}
 	}
 	return changes
 }
 
-func find(settings []Setting, key string) Setting {
+func findSetting(settings []Setting, key string) Setting {
 	i := slices.IndexFunc(settings, func(s Setting) bool { return s.Key == key })
 	if i < 0 {
 		return Setting{}
--- a/inventory/property_test.go
+++ b/inventory/property_test.go
@@ -13,7 +13,7 @@
 	"lovagelane/inventory"
 )
 
-// drawConfig draws an acceptable configuration: a few names, so that two draws share some of them.
+// drawConfig draws a valid configuration. It uses few names, so that two draws have some in common.
 func drawConfig(t *rapid.T, label string) *inventory.Config {
 	var inv, rules strings.Builder
 	inv.WriteString("[region rn]\nstore = yes\n[region ce]\n")
@@ -45,8 +45,8 @@
 	return cfg
 }
 
-// inForce returns the value of each setting by subject and key.
-func inForce(cfg *inventory.Config) map[string]string {
+// effectiveValues returns the value of each setting by subject and key.
+func effectiveValues(cfg *inventory.Config) map[string]string {
 	values := map[string]string{}
 	for _, s := range cfg.Explain("") {
 		values[id(s.Subject, s.Key)] = s.Value
@@ -56,8 +56,8 @@
 
 func id(sub inventory.Subject, key string) string { return fmt.Sprintf("%v %s", sub, key) }
 
-// Guards against a setting in force that cannot be traced to the line that states it.
-func TestEverySettingHasItsLine(t *testing.T) {
+// Guards against an effective setting whose line is not the one that sets it.
+func TestSettingLineSetsTheValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := drawConfig(t, "config")
 		lines := map[string][]string{}
@@ -76,12 +76,12 @@
 	})
 }
 
-// Guards against a plan that misses a change, invents one, or shows a rename as a change.
-func TestPlanAppliedGivesTheNewConfiguration(t *testing.T) {
+// Guards against a plan that misses a change, contains a spurious one, or shows a renamed section as a change.
+func TestPlanTransformsOldIntoNew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, next := drawConfig(t, "old"), drawConfig(t, "new")
 		require.Empty(t, inventory.Plan(old, old.WithVersion(9)))
-		values := inForce(old)
+		values := effectiveValues(old)
 		for _, c := range inventory.Plan(old, next) {
 			switch c := c.(type) {
 			case inventory.Added:
@@ -102,12 +102,12 @@
 				}
 			}
 		}
-		require.True(t, maps.Equal(inForce(next), values))
+		require.True(t, maps.Equal(effectiveValues(next), values))
 	})
 }
 
-// Guards against a lookup that finds another rule than a search of all rules for the narrowest match.
-func TestOperationIsTheNarrowestMatch(t *testing.T) {
+// Guards against a lookup whose result differs from a linear search of all rules for the most specific match.
+func TestOperationMatchesLinearSearch(t *testing.T) {
 	paths := []string{"/", "/a", "/a/b", "/a/b/c", "/*", "/a*", "/a/*", "/a/b*"}
 	rapid.Check(t, func(t *rapid.T) {
 		text := "[class lookups]\nrank = 6\ndefault = yes\n"
@@ -123,34 +123,34 @@
 		}
 		method := rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "request method")
 		path := rapid.SampledFrom([]string{"/", "/a", "/a/", "/a/b", "/a/b/", "/a/b/c", "/a/x", "/ab", "/x"}).Draw(t, "request path")
-		want, width := "payments.other", -1
+		want, specificity := "payments.other", -1
 		for _, r := range cfg.Requests() {
-			if w := matchWidth(r, method, path); w > width {
-				want, width = r.Operation.Name, w
+			if w := matchSpecificity(r, method, path); w > specificity {
+				want, specificity = r.Operation.Name, w
 			}
 		}
 		require.Equal(t, want, cfg.Operation("payments", method, path).Name)
 	})
 }
 
-// matchWidth returns how narrow a rule is that matches the request, or -1.
-func matchWidth(r inventory.Request, method, path string) int {
+// matchSpecificity returns a number that is higher for a more specific rule, or -1 if the rule does not match the request.
+func matchSpecificity(r inventory.RequestRule, method, path string) int {
 	prefix, isPrefix := strings.CutSuffix(r.Path, "*")
 	exact := slices.Contains([]string{r.Path, r.Path + "/"}, path)
 	if r.Method != "" && r.Method != method || !exact && !(isPrefix && strings.HasPrefix(path, prefix)) {
 		return -1
 	}
-	width := 2 * len(prefix)
+	specificity := 2 * len(prefix)
 	if !isPrefix {
-		width = 1000
+		specificity = 1000
 	}
 	if r.Method != "" {
-		width++
+		specificity++
 	}
-	return width
+	return specificity
 }
 
-// Guards against input that makes the reader panic, or an accepted file in which a lookup or the plan fails.
+// Guards against input that makes Parse panic, and against accepted files for which a lookup or the plan fails.
 func FuzzParse(f *testing.F) {
 	f.Add(validInventory, validRules)
 	for _, dir := range cases(f) {
@@ -173,7 +173,7 @@
 		for _, s := range cfg.Services() {
 			require.Equal(t, s.Name, cfg.Operation(s.Name, "GET", "/").Service)
 		}
-		for _, g := range cfg.Groups() {
+		for _, g := range cfg.BackendServerGroups() {
 			require.True(t, g.Count > 0 && g.Slots > 0 && g.Connections > 0)
 		}
 	})
--- a/inventory/rules.go
+++ b/inventory/rules.go
@@ -11,14 +11,14 @@
 	"lovagelane/setting"
 )
 
-// knownMethods are the methods that a request can have; HTTP methods are case-sensitive.
+// knownMethods lists the methods that a rule can match; HTTP methods are case-sensitive.
 var knownMethods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 
 func (b *builder) readRules(sections []setting.Section) {
-	b.readClasses(ofKind(sections, "class"))
-	b.readRequests(ofKind(sections, "request"))
-	b.readCallers(ofKind(sections, "caller"))
-	b.readObjectives(ofKind(sections, "objective"))
+	b.readClasses(sectionsOfKind(sections, "class"))
+	b.readRequests(sectionsOfKind(sections, "request"))
+	b.readCallers(sectionsOfKind(sections, "caller"))
+	b.readObjectives(sectionsOfKind(sections, "objective"))
 }
 
 func (b *builder) readClasses(sections []setting.Section) {
@@ -39,15 +39,15 @@
 			b.defaultClass = c
 		}
 		sub := Subject{Section: s.Header()}
-		b.note(sub, s)
-		b.noteKey(sub, s, "rank", fmt.Sprint(c.Rank))
-		b.noteKey(sub, s, "default", yesNo(c.Default))
+		b.recordSection(sub, s)
+		b.recordKey(sub, s, "rank", fmt.Sprint(c.Rank))
+		b.recordKey(sub, s, "default", yesNo(c.Default))
 		if _, ok := b.class[c.Name]; !ok {
 			b.class[c.Name] = c
 			b.classes = append(b.classes, c)
 		}
 	}
-	b.require(b.rulesFile, len(b.classes), "[class NAME]", "add one for each class of requests")
+	b.requireSection(b.rulesFile, len(b.classes), "[class NAME]", "add one for each class of requests")
 	if len(b.classes) > 0 && !b.defaultClass.Default {
 		b.Add(b.classes[len(b.classes)-1].Line, "no class is the default for requests that no rule matches",
 			"add a line default = yes to one class")
@@ -67,15 +67,15 @@
 			continue
 		}
 		if r.Path != "" && r.Operation.Service != "" {
-			b.byOwner[r.Operation.Service] = append(b.byOwner[r.Operation.Service], r)
+			b.rulesByService[r.Operation.Service] = append(b.rulesByService[r.Operation.Service], r)
 		}
 	}
-	for _, service := range keys(b.byOwner) {
-		b.checkOverlaps(b.byOwner[service])
+	for _, service := range sortedKeys(b.rulesByService) {
+		b.checkOverlaps(b.rulesByService[service])
 	}
 }
 
-func (b *builder) readRequest(s setting.Section) Request {
+func (b *builder) readRequest(s setting.Section) RequestRule {
 	op := Operation{
 		Name:          s.Names[0],
 		Service:       b.Name(s, "service"),
@@ -86,21 +86,21 @@
 		ClassLine:     s.LineOf("class"),
 		TimeoutLine:   s.LineOf("timeout"),
 	}
-	known(b, s, "service", op.Service, "service", b.service)
-	known(b, s, "class", op.Class, "class", b.class)
+	checkReference(b, s, "service", op.Service, "service", b.service)
+	checkReference(b, s, "class", op.Class, "class", b.class)
 	class := b.class[op.Class]
 	op.Rank = class.Rank
-	r := Request{Method: b.method(s), Path: b.path(s)}
+	r := RequestRule{Method: b.readMethod(s), Path: b.readPath(s)}
 
 	sub := Subject{Section: s.Header(), Service: op.Service}
-	b.note(sub, s)
-	b.noteKey(sub, s, "service", op.Service)
-	b.noteKey(sub, s, "method", r.Method)
-	b.noteKey(sub, s, "path", r.Path)
-	b.noteKey(sub, s, "class", op.Class)
-	b.noteFrom(sub, "rank", fmt.Sprint(op.Rank), class.RankLine, SourceInherited)
-	b.noteKey(sub, s, "non-idempotent", yesNo(op.NonIdempotent))
-	b.noteKey(sub, s, "timeout", op.Timeout.String())
+	b.recordSection(sub, s)
+	b.recordKey(sub, s, "service", op.Service)
+	b.recordKey(sub, s, "method", r.Method)
+	b.recordKey(sub, s, "path", r.Path)
+	b.recordKey(sub, s, "class", op.Class)
+	b.recordSetting(sub, "rank", fmt.Sprint(op.Rank), class.RankLine, SourceInherited)
+	b.recordKey(sub, s, "non-idempotent", yesNo(op.NonIdempotent))
+	b.recordKey(sub, s, "timeout", op.Timeout.String())
 	if entry, ok := b.service[op.Service]; ok {
 		b.requestTimeout(sub, &op, entry.service)
 	}
@@ -108,11 +108,11 @@
 	return r
 }
 
-// requestTimeout takes the service's timeout for a request that states none, and reports one that is longer.
+// requestTimeout applies the service's timeout to a request without one and reports a timeout that exceeds the service's.
 func (b *builder) requestTimeout(sub Subject, op *Operation, service Service) {
 	if op.TimeoutLine == op.Line {
 		op.Timeout, op.TimeoutLine = service.Timeout, service.TimeoutLine
-		b.noteFrom(sub, "timeout", op.Timeout.String(), op.TimeoutLine, SourceInherited)
+		b.recordSetting(sub, "timeout", op.Timeout.String(), op.TimeoutLine, SourceInherited)
 		return
 	}
 	if service.Timeout > 0 && op.Timeout > service.Timeout {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (b *builder) method(s setting.Section) string {
+func (b *builder) readMethod(s setting.Section) string {
 	v, ok := s.Value("method")
 	if ok && !slices.Contains(knownMethods, v.Text) {
 		b.Add(v.Line, fmt.Sprintf("the rule can never match: %s is not a method", v.Text),
@@ -131,8 +131,8 @@
 	return v.Text
 }
 
-// path returns the path of a rule, or "" when no request can have it.
-func (b *builder) path(s setting.Section) string {
+// readPath returns the path of a rule, or "" if no request can match it.
+func (b *builder) readPath(s setting.Section) string {
 	v, ok := s.Value("path")
 	if !ok {
 		return ""
@@ -160,24 +160,24 @@
 	return v.Text
 }
 
-// checkOverlaps reports rules that match the same requests as an earlier one, and rules that overlap without one being
-// narrower, unless a third rule is for exactly what they share. One report for each rule keeps the list short when many
-// rules overlap.
-func (b *builder) checkOverlaps(rules []Request) {
-	stated := map[[2]string]bool{}
+// checkOverlaps reports duplicate rules, and rules that overlap with an earlier one while neither is more specific, unless
+// a third rule matches exactly the requests that they share. It reports at most one problem for each rule, to keep the list
+// short if many rules overlap.
+func (b *builder) checkOverlaps(rules []RequestRule) {
+	patterns := map[[2]string]bool{}
 	for _, r := range rules {
-		stated[[2]string{r.Method, r.Path}] = true
+		patterns[[2]string{r.Method, r.Path}] = true
 	}
 	for i, r := range rules {
 		for _, earlier := range rules[:i] {
 			if r.Method == earlier.Method && r.Path == earlier.Path {
-				b.Add(r.Operation.Line, fmt.Sprintf("the rule can never match: %s is for the same requests", earlier.title()),
+				b.Add(r.Operation.Line, fmt.Sprintf("the rule can never match: %s is for the same requests", earlier.label()),
 					"keep one of them, or change a method or a path")
 				break
 			}
-			method, path, crosses := crossing(earlier, r)
-			if crosses && !stated[[2]string{method, path}] {
-				b.Add(r.Operation.Line, fmt.Sprintf("the rule is ambiguous: it and %s overlap and neither is narrower", earlier.title()),
+			method, path, ambiguous := ambiguousOverlap(earlier, r)
+			if ambiguous && !patterns[[2]string{method, path}] {
+				b.Add(r.Operation.Line, fmt.Sprintf("the rule is ambiguous: it and %s overlap and neither is narrower", earlier.label()),
 					fmt.Sprintf("add a request with method = %s and path = %s", method, path))
 				break
 			}
@@ -185,7 +185,7 @@
 	}
 }
 
-func (r Request) title() string {
+func (r RequestRule) label() string {
 	return fmt.Sprintf("request %s of line %d", r.Operation.Name, r.Operation.Line.Number)
 }
 
@@ -205,8 +205,8 @@
 		}
 		slices.Sort(texts)
 		sub := Subject{Section: s.Header()}
-		b.note(sub, s)
-		b.noteKey(sub, s, "addresses", strings.Join(texts, ", "))
+		b.recordSection(sub, s)
+		b.recordKey(sub, s, "addresses", strings.Join(texts, ", "))
 		if _, ok := b.caller[c.Name]; !ok {
 			b.caller[c.Name] = c
 			b.callers = append(b.callers, c)
@@ -228,15 +228,15 @@
 func (b *builder) readObjectives(sections []setting.Section) {
 	for _, s := range sections {
 		o := Objective{Service: s.Names[0], Answered: b.Percent(s, "answered"), Within: b.Duration(s, "within", maxTimeout), Line: s.Line}
-		known(b, s, "", o.Service, "service", b.service)
+		checkReference(b, s, "", o.Service, "service", b.service)
 		if entry, ok := b.service[o.Service]; ok && entry.service.Timeout > 0 && o.Within > entry.service.Timeout {
 			b.Add(s.LineOf("within"), fmt.Sprintf("within %s is longer than the timeout %s of service %s",
 				o.Within, entry.service.Timeout, o.Service), fmt.Sprintf("shorten it, or raise the timeout in %s", entry.service.TimeoutLine))
 		}
 		sub := Subject{Section: s.Header(), Service: o.Service}
-		b.note(sub, s)
-		b.noteKey(sub, s, "answered", strconv.FormatFloat(o.Answered*100, 'g', 10, 64)+"%")
-		b.noteKey(sub, s, "within", o.Within.String())
+		b.recordSection(sub, s)
+		b.recordKey(sub, s, "answered", strconv.FormatFloat(o.Answered*100, 'g', 10, 64)+"%")
+		b.recordKey(sub, s, "within", o.Within.String())
 		if _, ok := b.objective[o.Service]; !ok {
 			b.objective[o.Service] = o
 			b.objectives = append(b.objectives, o)
@@ -244,10 +244,10 @@
 	}
 }
 
-// finish builds the lookups from requests that have no problems.
-func (b *builder) finish() {
+// buildMatchers fills the matcher of each service with its rules. It runs only if the files have no problems.
+func (b *builder) buildMatchers() {
 	for _, entry := range b.service {
-		entry.match.other = Operation{
+		entry.match.fallback = Operation{
 			Name: entry.service.Name + ".other", Service: entry.service.Name, Class: b.defaultClass.Name, Rank: b.defaultClass.Rank,
 			Timeout: entry.service.Timeout, Line: entry.service.Line, ClassLine: b.defaultClass.DefaultLine,
 			TimeoutLine: entry.service.TimeoutLine,
