--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -27,13 +27,13 @@
 
 func (c *testClock) Now() time.Time { return c.now }
 
-var evening = time.Date(2026, 3, 1, 22, 40, 30, 0, time.UTC)
+var startTime = time.Date(2026, 3, 1, 22, 40, 30, 0, time.UTC)
 
-var nursery = Objectives{Version: 3, List: []Objective{
+var nurseryObjectives = Objectives{Version: 3, List: []Objective{
 	{Service: "nursery", Answered: 0.999, Within: 500 * time.Millisecond, Line: "rules.ini:40"}}}
 
-// Guards against calls in a wrong window, kind, row or cause, and against a wrong rate, with a model that keeps each
-// call. The counts travel as JSON, as between nodes.
+// Guards against calls in a wrong window, kind, row or cause, and against a wrong burn rate. It compares the report with a
+// model that keeps every call. The counts are encoded as JSON, as between nodes.
 func TestReportMatchesNaiveModel(t *testing.T) {
 	type record struct {
 		at   time.Time
@@ -41,10 +41,10 @@
 		kind Kind
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		clock := &testClock{now: evening}
+		clock := &testClock{now: startTime}
 		nodes := []*Recorder{NewRecorder(Node{ID: "a", AvailabilityZone: "rn-1"}, clock),
 			NewRecorder(Node{ID: "b", AvailabilityZone: "ce-1"}, clock)}
-		nodes[1].SetObjectives(nursery)
+		nodes[1].SetObjectives(nurseryObjectives)
 		var all []record
 		for range rapid.IntRange(0, 60).Draw(t, "n") {
 			gap := rapid.SampledFrom([]time.Duration{0, time.Second, 50 * time.Second, 3 * time.Minute, time.Hour, 9 * time.Hour})
@@ -52,7 +52,7 @@
 			key := Key{Service: rapid.SampledFrom([]string{"nursery", "maps"}).Draw(t, "service"), Class: "orders",
 				Operation: rapid.SampledFrom([]string{"order", "list"}).Draw(t, "operation")}
 			i := rapid.IntRange(0, 1).Draw(t, "node")
-			kind := Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind"))
+			kind := Kind(rapid.IntRange(0, int(numKinds)-1).Draw(t, "kind"))
 			nodes[i].Record(key, kind)
 			key.AvailabilityZone = []string{"rn-1", "ce-1"}[i]
 			all = append(all, record{clock.now, key, kind})
@@ -119,12 +119,12 @@
 			var b Buckets
 			for n := int64(1); n < 6; n++ {
 				if rapid.Bool().Draw(t, "used") {
-					b = append(b, Bucket{N: n, Counts: Counts{n, rapid.Int64Range(0, 3).Draw(t, "shed")}})
+					b = append(b, Bucket{Index: n, Counts: Counts{n, rapid.Int64Range(0, 3).Draw(t, "shed")}})
 				}
 			}
 			return b
 		})
-		at := func() time.Time { return evening.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "at")) * time.Hour) }
+		at := func() time.Time { return startTime.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "at")) * time.Hour) }
 		s := Snapshot{Nodes: []Node{{ID: name.Draw(t, "id"), Since: at()}}, Seconds: buckets.Draw(t, "seconds"),
 			EventsLost: rapid.Int64Range(0, 2).Draw(t, "lost")}
 		if s.Objectives.Version = rapid.Uint64Range(0, 3).Draw(t, "version"); s.Objectives.Version > 0 {
@@ -140,7 +140,7 @@
 	})
 }
 
-// Guards against a report that depends on the order in which nodes answer.
+// Guards against a merged snapshot that depends on the order in which nodes answer.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	text := func(s Snapshot) string {
 		b, err := json.Marshal(s)
@@ -159,8 +159,9 @@
 	})
 }
 
-// Guards against a broken node whose counts distort or crash the report.
-func TestMalformedBucketsAreRefused(t *testing.T) {
+// Guards against malformed counts of a faulty node that corrupt the report or make it panic, and against a clock that is
+// set back.
+func TestMalformedBucketsAreRejected(t *testing.T) {
 	for _, text := range []string{`[[]]`, `[[5,-1]]`, `[[5,1],[0,1]]`, `[[5,1],[-2,1]]`, `[[5,1,2,3,4,5,6]]`, `{}`,
 		"[[1]" + strings.Repeat(",[1]", maxBuckets) + "]"} {
 		var b Buckets
@@ -170,10 +171,10 @@
 	r.add(-1, KindGood)
 	r.add(7, KindGood)
 	r.add(4, KindShed) // the clock was set back
-	require.Equal(t, Buckets{{N: 7, Counts: Counts{1}}}, r.buckets(8))
+	require.Equal(t, Buckets{{Index: 7, Counts: Counts{1}}}, r.buckets(8))
 }
 
-// Guards against callers' mistakes that count as failures and against failures that do not count.
+// Guards against errors of callers that count as failures, and against failures that do not count.
 func TestClassify(t *testing.T) {
 	const fast, slow, within = time.Millisecond, time.Second, 500 * time.Millisecond
 	cases := []struct {
@@ -211,31 +212,32 @@
 	require.Equal(t, KindGood, kind, "without an objective no call is late")
 }
 
-// Guards against a verdict from one moment, one that stays after its cause, and a missing or impossible objective.
-func TestVerdicts(t *testing.T) {
+// Guards against a status that a short spike triggers or that persists after its cause ends, and against wrong results
+// without an objective, without calls, or for an objective that allows no bad calls.
+func TestRowStatus(t *testing.T) {
 	burns := func(rates ...float64) Row {
 		r := Row{HasObjective: true}
 		for i, rate := range rates {
-			r.Burns[i] = Burn{Counts: Counts{1}, Rate: rate}
+			r.Burns[i] = WindowBurn{Counts: Counts{1}, Rate: rate}
 		}
 		return r
 	}
-	require.Equal(t, VerdictFast, verdict(burns(20, 15, 1, 1)))
-	require.Equal(t, VerdictWithin, verdict(burns(100, 5, 1, 1)), "a moment")
-	require.Equal(t, VerdictWithin, verdict(burns(0, 100, 1, 1)), "over")
-	require.Equal(t, VerdictSteady, verdict(burns(0, 7, 6, 1)))
-	require.Equal(t, VerdictSlow, verdict(burns(0, 0, 2, 1.1)))
-	require.Equal(t, VerdictNoObjective, verdict(Row{Burns: burns(9, 9, 9, 9).Burns}))
-	require.Equal(t, VerdictNoCalls, verdict(Row{HasObjective: true}))
+	require.Equal(t, StatusFastBurn, rowStatus(burns(20, 15, 1, 1)))
+	require.Equal(t, StatusWithinBudget, rowStatus(burns(100, 5, 1, 1)), "short spike")
+	require.Equal(t, StatusWithinBudget, rowStatus(burns(0, 100, 1, 1)), "cause has ended")
+	require.Equal(t, StatusSteadyBurn, rowStatus(burns(0, 7, 6, 1)))
+	require.Equal(t, StatusOverBudget, rowStatus(burns(0, 0, 2, 1.1)))
+	require.Equal(t, StatusNoObjective, rowStatus(Row{Burns: burns(9, 9, 9, 9).Burns}))
+	require.Equal(t, StatusNoCalls, rowStatus(Row{HasObjective: true}))
 	require.True(t, math.IsInf(Rate(Counts{9, 1}, 1), 1))
 	require.Zero(t, Rate(Counts{9}, 1))
 	require.Zero(t, Rate(Counts{}, 0.9))
 	require.InDelta(t, 1, Rate(Counts{90, 1, 2, 3, 4}, 0.9), 1e-9)
 }
 
-// Guards against one cause that fills the report with a line for each node.
+// Guards against a report with one line for each node when one cause affects many nodes.
 func TestEventsAreGrouped(t *testing.T) {
-	at := func(minutes int) time.Time { return evening.Add(time.Duration(minutes) * time.Minute) }
+	at := func(minutes int) time.Time { return startTime.Add(time.Duration(minutes) * time.Minute) }
 	r := NewReport(Snapshot{Events: []Event{
 		{EventLimitLowered, "maps", "b", at(5), at(9), 3},
 		{EventLimitLowered, "maps", "a", at(0), at(30), 4},
@@ -243,14 +245,14 @@
 		{EventLimitLowered, "maps", "a", at(90), at(91), 1},
 		{EventEjected, "maps", "a", at(2), at(2), 1},
 	}}, at(100))
-	require.Equal(t, []Group{
+	require.Equal(t, []EventGroup{
 		{EventLimitLowered, "maps", at(0), at(30), 2, 8},
 		{EventEjected, "maps", at(2), at(2), 1, 1},
 		{EventLimitLowered, "maps", at(90), at(91), 1, 1},
-	}, r.Groups)
+	}, r.EventGroups)
 }
 
-// Guards against objectives that lose their version, share, duration or line on the way from the rules.
+// Guards against objectives whose version, share, duration or line gets lost in the conversion from the configuration.
 func TestObjectivesOfConfiguration(t *testing.T) {
 	cfg, problems := inventory.Parse([]inventory.File{{Name: inventory.InventoryFile, Text: "[region rn]\n[availability-zone rn-1]\nregion = rn\n[service nursery]\n" +
 		"timeout = 2s\nslots = 7\nconnections = 9\n[backend-servers nursery rn-1]\ncount = 1\n"},
@@ -264,9 +266,9 @@
 	require.Empty(t, ObjectivesOf(nil))
 }
 
-// Guards against operations or events that use up the memory of a node, and against recorders that allocate.
+// Guards against unbounded memory for many operations or events, and against allocations for a call with a known key.
 func TestRecorderIsBounded(t *testing.T) {
-	clock := &testClock{now: evening}
+	clock := &testClock{now: startTime}
 	r := NewRecorder(Node{ID: "a", AvailabilityZone: "rn-1"}, clock)
 	for i := range 1000 {
 		r.Record(Key{Service: "maps", Operation: fmt.Sprint(i)}, KindGood)
@@ -274,21 +276,21 @@
 	}
 	s := r.Snapshot()
 	require.Len(t, s.Series, maxSeries+1)
-	require.Equal(t, 1000, int(s.Seconds.Sum(evening.Unix(), 1).Total()))
+	require.Equal(t, 1000, int(s.Seconds.Sum(startTime.Unix(), 1).Total()))
 	require.Len(t, s.Events, maxEvents)
 	require.EqualValues(t, 1000-maxEvents, s.EventsLost)
 	key := Key{Service: "maps", Operation: "3", AvailabilityZone: "ce-1"}
 	r.Record(key, KindGood)
 	require.Zero(t, testing.AllocsPerRun(100, func() { r.Record(key, KindShed) }))
 
-	var none *Recorder
-	none.Record(key, KindGood)
-	none.Event(EventEjected, "a")
-	none.SetObjectives(nursery)
-	require.Empty(t, none.Snapshot())
+	var nilRecorder *Recorder
+	nilRecorder.Record(key, KindGood)
+	nilRecorder.Event(EventEjected, "a")
+	nilRecorder.SetObjectives(nurseryObjectives)
+	require.Empty(t, nilRecorder.Snapshot())
 }
 
-// Guards against counts that get lost when many calls end at once.
+// Guards against lost counts when calls are recorded concurrently.
 func TestRecorderIsConcurrent(t *testing.T) {
 	r := NewRecorder(Node{ID: "a"}, kernel.SystemClock{})
 	g := kernel.NewGroup(context.Background())
@@ -306,39 +308,41 @@
 	s := r.Snapshot()
 	var hours Buckets
 	for _, series := range s.Series {
-		hours = hours.With(series.Hours)
+		hours = hours.Plus(series.Hours)
 	}
-	require.EqualValues(t, 2000, hours.Sum(hours[len(hours)-1].N, 2).Total())
+	require.EqualValues(t, 2000, hours.Sum(hours[len(hours)-1].Index, 2).Total())
 	require.EqualValues(t, 2000, s.Events[0].Count)
 }
 
-// example is a night in which the nursery sheds orders for ten minutes and one node restarts.
-func example() (Report, *Recorder) {
-	clock := &testClock{now: evening}
+// exampleReport returns the report of a night in which the service nursery sheds orders for ten minutes, and the second node
+// has data only from a restart two hours later. It also returns the recorder of the first node.
+func exampleReport() (Report, *Recorder) {
+	clock := &testClock{now: startTime}
 	a := NewRecorder(Node{ID: "a", Address: "10.0.0.1:9100", AvailabilityZone: "rn-1"}, clock)
-	a.SetObjectives(nursery)
+	a.SetObjectives(nurseryObjectives)
 	order := Key{Service: "nursery", Class: "orders", Operation: "order-seedlings"}
 	for i := range 600 {
-		clock.now = evening.Add(time.Duration(i) * time.Second)
+		clock.now = startTime.Add(time.Duration(i) * time.Second)
 		for range 9 {
 			a.Record(order, KindGood)
 		}
 		a.Record(order, KindShed)
 		a.Event(EventLimitLowered, "nursery <1>")
 	}
-	clock.now = evening.Add(2 * time.Hour)
+	clock.now = startTime.Add(2 * time.Hour)
 	a.Event(EventQuarantined, "digest 9f3c")
 	b := NewRecorder(Node{ID: "b", Address: "10.0.1.1:9100", AvailabilityZone: "ce-1"}, clock)
 	b.Record(Key{Service: "maps", Class: "reloads", Operation: "map", AvailabilityZone: "rn-2"}, KindFailed)
-	clock.now = evening.Add(150 * time.Minute)
+	clock.now = startTime.Add(150 * time.Minute)
 	s := Merge(a.Snapshot(), b.Snapshot(), Snapshot{Missing: []Missing{{"10.0.2.1:9100", "connection refused"}}})
-	s.Nodes[0].Taken = clock.now.Add(-time.Minute)
+	s.Nodes[0].SnapshotTime = clock.now.Add(-time.Minute)
 	return NewReport(s, clock.now), a
 }
 
-// Guards against a report that leaves out what burnt, where, since when there is data or which node did not answer.
+// Guards against a text report that omits the causes of the burn, their zones, since when there is data, or which node did
+// not answer.
 func TestTextReport(t *testing.T) {
-	r, _ := example()
+	r, _ := exampleReport()
 	var out bytes.Buffer
 	require.NoError(t, r.WriteText(&out))
 	require.Equal(t, `Service-level burn at 2026-03-02 01:10Z, configuration 3, 2 nodes answered, 1 did not
@@ -373,13 +377,13 @@
   10.0.0.1:9100  rn-1            since 2026-03-01 22:40Z
 `, out.String())
 	out.Reset()
-	require.NoError(t, NewReport(Snapshot{}, evening).WriteText(&out))
+	require.NoError(t, NewReport(Snapshot{}, startTime).WriteText(&out))
 	require.Contains(t, out.String(), "No calls were counted.")
 }
 
-// Guards against a page that needs the network or a script, that lets names inject markup, or that has wrong plots.
+// Guards against an HTML report that needs the network or a script, that does not escape names, or that has wrong plots.
 func TestHTMLReport(t *testing.T) {
-	r, _ := example()
+	r, _ := exampleReport()
 	var out bytes.Buffer
 	require.NoError(t, r.WriteHTML(&out))
 	text := out.String()
@@ -390,17 +394,18 @@
 		"100.00", "connection refused", "6 h: 0 of 2 nodes", "its clock differs by -1m0s"} {
 		require.Contains(t, text, needed)
 	}
-	// 150 minutes before the end are columns 41 to 43 of 72 in 6 h; each is full, since all shares are the top line.
+	// In the plot of 6 h, 150 minutes before the end are columns 41 to 43 of 72. Each has full height, since every share equals
+	// the top of the scale.
 	require.Contains(t, text, `<path class="shed" d="M410 90.0h9v-90.0h-9zM420 90.0h9v-90.0h-9zM430 90.0h9v-90.0h-9z"/>`)
 	require.Equal(t, 4, strings.Count(text, "<svg"), "6 h and 3 d for both rows")
 
 	columns := [plotColumns]Counts{0: {50, 25, 25}}
-	require.Equal(t, "M0 67.5h9v-22.5h-9z", path(columns, KindFailed, 1), "failed is on top of shed")
+	require.Equal(t, "M0 67.5h9v-22.5h-9z", pathData(columns, KindFailed, 1), "failed is on top of shed")
 }
 
-// Guards against nodes that do not answer, answer nonsense or are asked twice and spoil the report.
+// Guards against a wrong merge if a node does not answer, returns a malformed answer, or answers at two addresses.
 func TestGather(t *testing.T) {
-	_, recorder := example()
+	_, recorder := exampleReport()
 	s := recorder.Snapshot()
 	got := Gather([]Answer{
 		{Address: "10.0.0.1:7002", Snapshot: s},
--- a/burn/counts.go
+++ b/burn/counts.go
@@ -9,38 +9,38 @@
 	"lovagelane/call"
 )
 
-// Kind is what became of a counted call.
+// Kind classifies the outcome of a counted call.
 type Kind uint8
 
 const (
-	// KindGood marks calls that were answered within the duration of the objective.
+	// KindGood is a call that was answered within the duration of the objective.
 	KindGood Kind = iota
-	// KindShed marks calls that were refused because of load.
+	// KindShed is a call that was refused because of overload.
 	KindShed
-	// KindFailed marks calls that were refused for another reason or answered with a server error.
+	// KindFailed is a call that was refused for another reason or answered with a server error.
 	KindFailed
-	// KindLate marks calls that were answered after the duration of the objective.
+	// KindLate is a call that was answered, or cancelled by the caller, after the duration of the objective.
 	KindLate
-	// KindUnknown marks calls that may or may not have run.
+	// KindUnknown is a call that may or may not have run.
 	KindUnknown
-	kinds
+	numKinds
 )
 
-var kindNames = [kinds]string{"good", "shed", "failed", "late", "unknown"}
+var kindNames = [numKinds]string{"good", "shed", "failed", "late", "unknown"}
 
-// BadKinds are the kinds that burn an objective.
+// BadKinds lists the kinds that spend error budget.
 var BadKinds = []Kind{KindShed, KindFailed, KindLate, KindUnknown}
 
-// String returns the kind as it is written in reports.
+// String returns the name of the kind in reports.
 func (k Kind) String() string {
-	if k < kinds {
+	if k < numKinds {
 		return kindNames[k]
 	}
 	return fmt.Sprintf("kind-%d", uint8(k))
 }
 
-// Classify returns the kind of a call and false for a call that says nothing about the service: one that the caller
-// cancelled in time or that was refused for a fault of the caller.
+// Classify returns the kind of a call, and false if the call does not count for the objective: the caller cancelled it
+// before it was late, or it was refused because of an error of the caller.
 func Classify(outcome call.Outcome, reason call.Reason, status int, took, within time.Duration) (Kind, bool) {
 	late := within > 0 && took > within
 	switch reason {
@@ -53,7 +53,7 @@
 	switch {
 	case outcome == call.OutcomeUnknown:
 		return KindUnknown, true
-	case outcome == call.OutcomeNotRun && isLoad(reason):
+	case outcome == call.OutcomeNotRun && isOverloadReason(reason):
 		return KindShed, true
 	case outcome == call.OutcomeNotRun || reason != call.ReasonNone || status >= 500:
 		return KindFailed, true
@@ -64,7 +64,7 @@
 	}
 }
 
-func isLoad(r call.Reason) bool {
+func isOverloadReason(r call.Reason) bool {
 	switch r {
 	case call.ReasonShed, call.ReasonQueueFull, call.ReasonDeadline, call.ReasonBusy:
 		return true
@@ -72,8 +72,8 @@
 	return false
 }
 
-// Counts are calls by kind.
-type Counts [kinds]int64
+// Counts holds the number of calls of each kind.
+type Counts [numKinds]int64
 
 // Total returns the number of calls.
 func (c Counts) Total() int64 {
@@ -84,31 +84,31 @@
 	return n
 }
 
-// Bad returns the number of calls that burn an objective.
+// Bad returns the number of calls that spend error budget.
 func (c Counts) Bad() int64 { return c.Total() - c[KindGood] }
 
-// With returns the sum of both counts.
-func (c Counts) With(other Counts) Counts {
+// Plus returns the sum of both counts.
+func (c Counts) Plus(other Counts) Counts {
 	for i, v := range other {
 		c[i] += v
 	}
 	return c
 }
 
-// Bucket holds the calls of one minute, hour or second, numbered since 1970.
+// Bucket holds the calls of one second, minute or hour. Index numbers them from the start of 1970.
 type Bucket struct {
-	N      int64
+	Index  int64
 	Counts Counts
 }
 
-// Buckets are in order of their numbers, without empty ones.
+// Buckets is a series of buckets in ascending order of index, without empty ones.
 type Buckets []Bucket
 
-// maxBuckets bounds what is accepted from a node for one series; its rings hold less.
+// maxBuckets bounds the buckets of one series that are accepted from a node; a recorder's rings hold fewer.
 const maxBuckets = 1024
 
-// MarshalJSON writes each bucket as an array of the distance to the number before and the counts without the zeros at
-// the end, which takes about a tenth of the space of named fields.
+// MarshalJSON encodes each bucket as an array of the difference to the previous index and the counts without trailing
+// zeros, which takes about a tenth of the space of named fields.
 func (b Buckets) MarshalJSON() ([]byte, error) {
 	rows := make([][]int64, len(b))
 	var last int64
@@ -117,13 +117,14 @@
 		for n > 0 && bucket.Counts[n-1] == 0 {
 			n--
 		}
-		rows[i] = append([]int64{bucket.N - last}, bucket.Counts[:n]...)
-		last = bucket.N
+		rows[i] = append([]int64{bucket.Index - last}, bucket.Counts[:n]...)
+		last = bucket.Index
 	}
 	return json.Marshal(rows)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote and refuses disordered, negative or too many buckets.
+// UnmarshalJSON decodes the format of MarshalJSON. It rejects buckets that are out of order or negative, and more than
+// maxBuckets of them.
 func (b *Buckets) UnmarshalJSON(text []byte) error {
 	var rows [][]int64
 	if err := json.Unmarshal(text, &rows); err != nil {
@@ -135,67 +136,68 @@
 	*b = make(Buckets, 0, len(rows))
 	var last int64
 	for _, row := range rows {
-		if len(row) == 0 || len(row) > 1+int(kinds) || slices.Min(row) < 0 || last > 0 && row[0] == 0 {
+		if len(row) == 0 || len(row) > 1+int(numKinds) || slices.Min(row) < 0 || last > 0 && row[0] == 0 {
 			return fmt.Errorf("malformed bucket %v", row)
 		}
 		last += row[0]
-		bucket := Bucket{N: last}
+		bucket := Bucket{Index: last}
 		copy(bucket.Counts[:], row[1:])
 		*b = append(*b, bucket)
 	}
 	return nil
 }
 
-// With returns the sums of both by number.
-func (b Buckets) With(other Buckets) Buckets {
+// Plus returns the sum of both series by index.
+func (b Buckets) Plus(other Buckets) Buckets {
 	sum := make(Buckets, 0, max(len(b), len(other)))
 	for len(b) > 0 && len(other) > 0 {
 		switch {
-		case b[0].N < other[0].N:
+		case b[0].Index < other[0].Index:
 			sum, b = append(sum, b[0]), b[1:]
-		case b[0].N > other[0].N:
+		case b[0].Index > other[0].Index:
 			sum, other = append(sum, other[0]), other[1:]
 		default:
-			sum = append(sum, Bucket{N: b[0].N, Counts: b[0].Counts.With(other[0].Counts)})
+			sum = append(sum, Bucket{Index: b[0].Index, Counts: b[0].Counts.Plus(other[0].Counts)})
 			b, other = b[1:], other[1:]
 		}
 	}
 	return append(append(sum, b...), other...)
 }
 
-// Sum returns the calls in the n buckets up to and including the one numbered last.
+// Sum returns the calls in the n buckets up to and including index last.
 func (b Buckets) Sum(last, n int64) Counts {
 	var sum Counts
 	for _, bucket := range b {
-		if bucket.N <= last && bucket.N > last-n {
-			sum = sum.With(bucket.Counts)
+		if bucket.Index <= last && bucket.Index > last-n {
+			sum = sum.Plus(bucket.Counts)
 		}
 	}
 	return sum
 }
 
-// ring keeps the newest buckets.
+// ring is a ring buffer of the newest buckets; an unused slot has index -1.
 type ring []Bucket
 
 func newRing(n int) ring {
 	r := make(ring, n)
 	for i := range r {
-		r[i].N = -1
+		r[i].Index = -1
 	}
 	return r
 }
 
-// add ignores times that are older than the ring, as after a clock was set back.
+// add counts a call in the bucket with index n. It ignores an index that is older than the bucket in its slot, which occurs
+// after the clock is set back.
 func (r ring) add(n int64, k Kind) {
 	if n < 0 {
 		return
 	}
 	b := &r[n%int64(len(r))]
-	if n < b.N {
+	if n < b.Index {
 		return
 	}
-	if n > b.N {
-		*b = Bucket{N: n}
+	if n > b.Index {
+		*b = Bucket{Index: n}
 	}
 	b.Counts[k]++
 }
@@ -203,7 +205,7 @@
 func (r ring) buckets(last int64) Buckets {
 	var b Buckets
 	for n := max(0, last-int64(len(r))+1); n <= last; n++ {
-		if slot := r[n%int64(len(r))]; slot.N == n {
+		if slot := r[n%int64(len(r))]; slot.Index == n {
 			b = append(b, slot)
 		}
 	}
--- a/burn/doc.go
+++ b/burn/doc.go
@@ -1,10 +1,10 @@
-// Package burn reports how fast each service and class uses up the calls that its objective allows to go wrong.
+// Package burn reports the rate at which each service and class spends the error budget of its service-level objective.
 //
-// Each node counts in a Recorder and keeps its counts in memory only: buckets of a minute for 6 hours and of an hour
-// for 3 days. A report joins the snapshots of all nodes. It says since when each node has data and which ones did not
-// answer, since a node that restarts loses its counts.
+// Each node counts calls in a Recorder, in memory only: in one-minute buckets for 6 hours and in one-hour buckets for
+// 3 days. A report merges the snapshots of all nodes. Since a node loses its counts on a restart, the report shows since
+// when each node has data and which nodes did not answer.
 //
-// A request is counted once, by the node that took it from an outside caller, under the availability zone of the node
-// that served it last or, if none did, of the node that counts. All processor time for a report is spent where the
-// report is made; a node only adds to its counts and writes them out when asked.
+// A request is counted once, by the node that received it from an external caller. It counts for the availability zone of
+// the node that served it last or, if no node served it, of the node that counts it. The report is computed by the program
+// that requests it; a node only increments counters and returns them on request.
 package burn
--- a/burn/gather.go
+++ b/burn/gather.go
@@ -6,15 +6,15 @@
 	"lovagelane/kernel"
 )
 
-// Answer is what one node counted, or why it did not answer.
+// Answer holds the snapshot of one node, or the error of its request.
 type Answer struct {
 	Address  string
 	Snapshot Snapshot
 	Err      error
 }
 
-// Gather joins the answers of all nodes. A node that did not answer, or whose answer is not that of one node, is
-// listed as missing. A node that was asked at two addresses counts once.
+// Gather merges the answers of all nodes into one snapshot. A node whose request failed, or whose answer does not contain
+// exactly one node, is listed as missing. A node that answered at two addresses counts once.
 func Gather(answers []Answer) Snapshot {
 	seen := kernel.Set[string]{}
 	parts := make([]Snapshot, 0, len(answers))
--- a/burn/html.go
+++ b/burn/html.go
@@ -11,20 +11,20 @@
 )
 
 //go:embed report.html
-var pageText string
+var templateText string
 
-var page = template.Must(template.New("report").Parse(pageText))
+var reportTemplate = template.Must(template.New("report").Parse(templateText))
 
 const (
 	plotWidth  = 720
 	plotHeight = 90
-	// plotColumns fits 3 days by hours, 6 hours by 5 minutes and 5 minutes by seconds, four to a column.
+	// plotColumns fits 3 days in columns of 1 hour, 6 hours in columns of 5 minutes and 5 minutes in columns of 4 seconds.
 	plotColumns = 72
-	// leastTop keeps a few bad calls among many from filling a plot.
-	leastTop = 0.01
+	// minTopShare is the smallest upper end of the scale, so that a few bad calls among many do not fill a plot.
+	minTopShare = 0.01
 )
 
-// plot is the share of bad calls over time, stacked by kind.
+// plot is a stacked chart of the share of bad calls over time, by kind.
 type plot struct {
 	Title         string
 	Width, Height int
@@ -42,11 +42,11 @@
 }
 
 type pageCell struct {
-	Window, Rate, BurntBy string
-	Calls                 int64
+	Window, Rate, BadCallsByKind string
+	Calls                        int64
 }
 
-// WriteHTML writes the report as one page that needs no other file and no script.
+// WriteHTML writes the report as a self-contained HTML page without scripts.
 func (r Report) WriteHTML(w io.Writer) error {
 	data := struct {
 		Report
@@ -55,14 +55,14 @@
 		Recent  []plot
 		Windows []Window
 	}{Report: r, Time: r.At.Format(reportTime), Windows: Windows[:]}
-	if bad(r.Seconds) {
+	if hasBadCalls(r.Seconds) {
 		data.Recent = []plot{newPlot("all services, 5 min", r.Seconds, r.At.Unix(), 4)}
 	}
 	for _, row := range r.Rows {
 		data.Rows = append(data.Rows, newPageRow(row, r.At))
 	}
 	var out bytes.Buffer
-	if err := page.Execute(&out, data); err != nil {
+	if err := reportTemplate.Execute(&out, data); err != nil {
 		return err
 	}
 	_, err := w.Write(out.Bytes())
@@ -72,21 +72,21 @@
 func newPageRow(row Row, at time.Time) pageRow {
 	p := pageRow{Row: row}
 	for i, b := range row.Burns {
-		p.Cells = append(p.Cells, pageCell{Windows[i].Name, row.RateText(i), b.BurntBy(), b.Counts.Total()})
+		p.Cells = append(p.Cells, pageCell{Windows[i].Name, row.RateText(i), b.BadCallsByKind(), b.Counts.Total()})
 	}
 	for _, c := range row.Causes {
 		p.Causes = append(p.Causes, c.text(row.CausesWindow))
 	}
-	if bad(row.Minutes) {
+	if hasBadCalls(row.Minutes) {
 		p.Plots = append(p.Plots, newPlot("6 h", row.Minutes, minuteOf(at), 5))
 	}
-	if bad(row.Hours) {
+	if hasBadCalls(row.Hours) {
 		p.Plots = append(p.Plots, newPlot("3 d", row.Hours, hourOf(at), 1))
 	}
 	return p
 }
 
-func bad(b Buckets) bool {
+func hasBadCalls(b Buckets) bool {
 	for _, bucket := range b {
 		if bucket.Counts.Bad() > 0 {
 			return true
@@ -95,14 +95,14 @@
 	return false
 }
 
-// newPlot puts the given number of buckets, of which the newest is numbered last, into each column.
+// newPlot creates a plot with perColumn buckets in each column; the last column ends with the bucket of index last.
 func newPlot(title string, b Buckets, last, perColumn int64) plot {
 	var columns [plotColumns]Counts
-	top := leastTop
+	top := minTopShare
 	for _, bucket := range b {
-		if age := (last - bucket.N) / perColumn; bucket.N <= last && age < plotColumns {
+		if age := (last - bucket.Index) / perColumn; bucket.Index <= last && age < plotColumns {
 			i := plotColumns - 1 - age
-			columns[i] = columns[i].With(bucket.Counts)
+			columns[i] = columns[i].Plus(bucket.Counts)
 		}
 	}
 	for _, c := range columns {
@@ -112,15 +112,15 @@
 	}
 	p := plot{Title: title, Width: plotWidth, Height: plotHeight, Top: fmt.Sprintf("%.3g%%", 100*top)}
 	for _, k := range BadKinds {
-		if d := path(columns, k, top); d != "" {
+		if d := pathData(columns, k, top); d != "" {
 			p.Paths = append(p.Paths, plotPath{k.String(), d})
 		}
 	}
 	return p
 }
 
-// path draws one kind on top of the kinds before it.
-func path(columns [plotColumns]Counts, kind Kind, top float64) string {
+// pathData returns the SVG path data of one kind, stacked on top of the preceding kinds.
+func pathData(columns [plotColumns]Counts, kind Kind, top float64) string {
 	const width = plotWidth / plotColumns
 	var d strings.Builder
 	for i, c := range columns {
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	minutesKept = 6 * 60
-	hoursKept   = 3 * 24
-	secondsKept = 5 * time.Minute
-	// maxSeries bounds the keys of one node at about 21 KB each; calls of further keys are counted as other.
+	minuteBuckets    = 6 * 60
+	hourBuckets      = 3 * 24
+	secondsRetention = 5 * time.Minute
+	// maxSeries bounds the memory of one node: a series takes about 21 KB. Calls of further keys count under overflowName.
 	maxSeries = 512
-	// maxEvents bounds the events of one node; the oldest are dropped.
+	// maxEvents bounds the events of one node; the oldest is dropped for a new one.
 	maxEvents = 256
-	// eventGap is the longest time between repeats of an event that are kept as one.
-	eventGap = 10 * time.Minute
+	// maxEventGap is the longest interval after which a repeat extends an event instead of adding one.
+	maxEventGap = 10 * time.Minute
 )
 
-// other is the key of calls that are beyond maxSeries.
-const other = "other"
+// overflowName is the service, class and operation of calls whose key exceeds maxSeries.
+const overflowName = "other"
 
-// Recorder counts the calls of one node; a nil Recorder counts nothing.
+// Recorder counts the calls and events of one node; a nil Recorder counts nothing.
 type Recorder struct {
 	self    Node
 	clock   kernel.Clock
 	seconds *event.Window
-	// series is copied when it grows, so that the data path reads it without a lock.
+	// series is copied on write, so that the data path reads it without a lock.
 	series atomic.Pointer[map[Key]*counter]
 
-	mu         sync.Mutex // for all below and for growing series
+	mu         sync.Mutex // protects the fields below and additions to series
 	objectives Objectives
 	events     []Event
-	lost       int64
+	eventsLost int64
 }
 
 type counter struct {
@@ -45,17 +45,17 @@
 	minutes, hours ring
 }
 
-// NewRecorder returns a recorder for a node, which has data since now.
+// NewRecorder returns a recorder for a node that counts from now on.
 func NewRecorder(self Node, clock kernel.Clock) *Recorder {
 	self.Since = clock.Now().UTC()
-	r := &Recorder{self: self, clock: clock, seconds: event.NewWindow(secondsKept, int(kinds))}
+	r := &Recorder{self: self, clock: clock, seconds: event.NewWindow(secondsRetention, int(numKinds))}
 	r.series.Store(&map[Key]*counter{})
 	return r
 }
 
-// Record counts a call.
+// Record counts a call of the given key and kind.
 func (r *Recorder) Record(key Key, kind Kind) {
-	if r == nil || kind >= kinds {
+	if r == nil || kind >= numKinds {
 		return
 	}
 	if key.AvailabilityZone == "" {
@@ -65,7 +65,7 @@
 	r.seconds.Add(now, int(kind), 1)
 	c, ok := (*r.series.Load())[key]
 	if !ok {
-		c = r.create(key)
+		c = r.getOrCreate(key)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,12 +73,12 @@
 	c.hours.add(hourOf(now), kind)
 }
 
-func (r *Recorder) create(key Key) *counter {
+func (r *Recorder) getOrCreate(key Key) *counter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := *r.series.Load()
 	if len(old) >= maxSeries {
-		key = Key{Service: other, Class: other, Operation: other, AvailabilityZone: r.self.AvailabilityZone}
+		key = Key{Service: overflowName, Class: overflowName, Operation: overflowName, AvailabilityZone: r.self.AvailabilityZone}
 	}
 	if c, ok := old[key]; ok {
 		return c
@@ -87,13 +87,13 @@
 	for k, c := range old {
 		next[k] = c
 	}
-	c := &counter{minutes: newRing(minutesKept), hours: newRing(hoursKept)}
+	c := &counter{minutes: newRing(minuteBuckets), hours: newRing(hourBuckets)}
 	next[key] = c
 	r.series.Store(&next)
 	return c
 }
 
-// Event notes a protective state; repeats within 10 minutes are kept as one event.
+// Event records that the node entered a protective state. A repeat within 10 minutes of the last one extends that event.
 func (r *Recorder) Event(kind EventKind, subject string) {
 	if r == nil {
 		return
@@ -103,7 +103,7 @@
 	defer r.mu.Unlock()
 	for i := len(r.events) - 1; i >= 0; i-- {
 		e := &r.events[i]
-		if e.Kind == kind && e.Subject == subject && now.Sub(e.To) <= eventGap {
+		if e.Kind == kind && e.Subject == subject && now.Sub(e.To) <= maxEventGap {
 			e.To = now
 			e.Count++
 			return
@@ -111,12 +111,12 @@
 	}
 	if len(r.events) == maxEvents {
 		r.events = slices.Delete(r.events, 0, 1)
-		r.lost++
+		r.eventsLost++
 	}
 	r.events = append(r.events, Event{Kind: kind, Subject: subject, Node: r.self.ID, From: now, To: now, Count: 1})
 }
 
-// SetObjectives replaces the objectives when a configuration takes force.
+// SetObjectives replaces the objectives when a new configuration takes effect.
 func (r *Recorder) SetObjectives(o Objectives) {
 	if r == nil {
 		return
@@ -126,17 +126,17 @@
 	r.objectives = o
 }
 
-// Snapshot returns what is counted so far.
+// Snapshot returns a copy of the counts, the events and the objectives.
 func (r *Recorder) Snapshot() Snapshot {
 	if r == nil {
 		return Snapshot{}
 	}
 	now := r.clock.Now().UTC()
 	self := r.self
-	self.Taken = now
+	self.SnapshotTime = now
 	s := Snapshot{Nodes: []Node{self}}
 	r.mu.Lock()
-	s.Objectives, s.Events, s.EventsLost = r.objectives, slices.Clone(r.events), r.lost
+	s.Objectives, s.Events, s.EventsLost = r.objectives, slices.Clone(r.events), r.eventsLost
 	r.mu.Unlock()
 	for key, c := range *r.series.Load() {
 		c.mu.Lock()
@@ -147,12 +147,12 @@
 		}
 	}
 	r.seconds.Each(now, func(second int64, counts []int64) {
-		s.Seconds = append(s.Seconds, Bucket{N: second, Counts: Counts(counts)})
+		s.Seconds = append(s.Seconds, Bucket{Index: second, Counts: Counts(counts)})
 	})
 	return Merge(s)
 }
 
-// JSON returns the answer to GET /burn.
+// JSON returns the snapshot in the format of GET /burn.
 func (r *Recorder) JSON() ([]byte, error) { return json.Marshal(r.Snapshot()) }
 
 func minuteOf(t time.Time) int64 { return t.Unix() / 60 }
--- a/burn/report.go
+++ b/burn/report.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Window is a span that burn is reported over.
+// Window is a time window over which the burn rate is computed.
 type Window struct {
 	Name   string
 	Length time.Duration
-	// Hours says that hour buckets are used, since minute buckets do not reach that far.
+	// Hours selects hour buckets, for windows that exceed the retention of minute buckets.
 	Hours bool
 }
 
-// Windows are those of a report, the shortest first. Each ends with the bucket under way, so the oldest part of up to
-// one bucket is missing.
+// Windows lists the windows of a report, shortest first. Each ends with the current, incomplete bucket, so a window can be
+// up to one bucket shorter than its length.
 var Windows = [...]Window{
 	{"5 min", 5 * time.Minute, false},
 	{"1 h", time.Hour, false},
@@ -27,68 +27,68 @@
 }
 
 const (
-	// fastRate spends 2% of a 30 day budget in an hour.
-	fastRate = 14.4
-	// steadyRate spends 5% of a 30 day budget in 6 hours.
-	steadyRate = 6
-	// slowRate spends exactly the budget.
-	slowRate = 1
+	// fastBurnRate spends 2% of the error budget of 30 days in 1 hour.
+	fastBurnRate = 14.4
+	// steadyBurnRate spends 5% of the error budget of 30 days in 6 hours.
+	steadyBurnRate = 6
+	// budgetBurnRate spends exactly the error budget.
+	budgetBurnRate = 1
 )
 
-// Verdict sums up a row.
-type Verdict string
+// Status summarizes the burn rates of a row.
+type Status string
 
 const (
-	// VerdictFast means that the budget burns fast now and has for an hour.
-	VerdictFast Verdict = "burning fast"
-	// VerdictSteady means that the budget has burnt steadily for hours.
-	VerdictSteady Verdict = "burning steadily"
-	// VerdictSlow means that more than the budget is spent over days.
-	VerdictSlow Verdict = "over budget"
-	// VerdictWithin means that the objective is met.
-	VerdictWithin Verdict = "within budget"
-	// VerdictNoObjective means that the rules state no objective for the service.
-	VerdictNoObjective Verdict = "no objective"
-	// VerdictNoCalls means that nothing was counted.
-	VerdictNoCalls Verdict = "no calls"
+	// StatusFastBurn means that the burn rate is at least fastBurnRate over both 5 minutes and 1 hour.
+	StatusFastBurn Status = "burning fast"
+	// StatusSteadyBurn means that the burn rate is at least steadyBurnRate over both 1 hour and 6 hours.
+	StatusSteadyBurn Status = "burning steadily"
+	// StatusOverBudget means that the burn rate is above budgetBurnRate over both 6 hours and 3 days.
+	StatusOverBudget Status = "over budget"
+	// StatusWithinBudget means that none of the burn rates exceeds its threshold in both of its windows.
+	StatusWithinBudget Status = "within budget"
+	// StatusNoObjective means that the rules have no objective for the service.
+	StatusNoObjective Status = "no objective"
+	// StatusNoCalls means that no calls were counted in the windows of 6 hours and 3 days.
+	StatusNoCalls Status = "no calls"
 )
 
-// verdicts are in the order of their rows in a report.
-var verdicts = []Verdict{VerdictFast, VerdictSteady, VerdictSlow, VerdictNoObjective, VerdictWithin, VerdictNoCalls}
+// statuses lists the statuses in the order of the rows of a report.
+var statuses = []Status{StatusFastBurn, StatusSteadyBurn, StatusOverBudget, StatusNoObjective, StatusWithinBudget, StatusNoCalls}
 
-// Burn is what happened in one window.
-type Burn struct {
+// WindowBurn holds the counts and the burn rate of one window.
+type WindowBurn struct {
 	Counts Counts
-	// Rate is the bad share divided by the share that the objective allows; 1 spends exactly the budget. It is
-	// infinite when the objective allows no bad call and there was one.
+	// Rate is the share of bad calls divided by the share that the objective allows; 1 spends exactly the error budget.
+	// It is infinite if the objective allows no bad calls and there is one.
 	Rate float64
 }
 
-// Cause is one share of the bad calls of a row.
+// Cause is a group of bad calls of a row with the same kind, availability zone and operation.
 type Cause struct {
 	Kind             Kind
 	AvailabilityZone string
 	Operation        string
 	Calls            int64
-	// Share is the part of all bad calls in the window.
+	// Share is the fraction, from 0 to 1, of all bad calls in the window.
 	Share float64
 }
 
-// Row is the burn of one class of a service.
+// Row holds the burn rates of one class of a service.
 type Row struct {
 	Service, Class string
 	Objective      Objective
 	HasObjective   bool
-	Verdict        Verdict
-	Burns          [len(Windows)]Burn
-	// Causes are the largest shares of the bad calls in CausesWindow, the shortest window from 1 h up that has any.
+	Status         Status
+	Burns          [len(Windows)]WindowBurn
+	// Causes lists the largest causes in CausesWindow, which is the shortest window of at least 1 h with bad calls.
 	Causes         []Cause
 	CausesWindow   Window
 	Minutes, Hours Buckets
 }
 
-// Group is one protective state in one hour over all nodes.
-type Group struct {
+// EventGroup combines the events of all nodes that have the same kind and subject and begin in the same hour.
+type EventGroup struct {
 	Kind     EventKind
 	Subject  string
 	From, To time.Time
@@ -96,24 +96,24 @@
 	Count    int64
 }
 
-// Report is the burn of all services.
+// Report holds the burn rates of all services, the protective states and the nodes that the data comes from.
 type Report struct {
-	At         time.Time
-	Rows       []Row
-	Groups     []Group
-	EventsLost int64
-	Nodes      []Node
-	Missing    []Missing
-	// Whole is the number of nodes that have data for the whole of each window.
-	Whole   [len(Windows)]int
-	Version uint64
-	Seconds Buckets
+	At          time.Time
+	Rows        []Row
+	EventGroups []EventGroup
+	EventsLost  int64
+	Nodes       []Node
+	Missing     []Missing
+	// NodesWithFullData is, for each window, the number of nodes that have data for all of it.
+	NodesWithFullData [len(Windows)]int
+	Version           uint64
+	Seconds           Buckets
 }
 
-// maxCauses is the number of causes listed for a row.
+// maxCauses is the maximum number of causes listed for a row.
 const maxCauses = 5
 
-// Rate returns how many times faster than allowed the counts spend the budget of an objective.
+// Rate returns the burn rate of the counts: the share of bad calls divided by the share that the objective allows.
 func Rate(c Counts, answered float64) float64 {
 	if c.Bad() == 0 {
 		return 0
@@ -125,15 +125,15 @@
 	return float64(c.Bad()) / float64(c.Total()) / allowed
 }
 
-// NewReport computes the burn at a time from the counts of all nodes.
+// NewReport computes the report at the given time from the merged snapshots of all nodes.
 func NewReport(s Snapshot, at time.Time) Report {
 	s = Merge(s)
-	r := Report{At: at.UTC(), Groups: group(s.Events), EventsLost: s.EventsLost, Nodes: s.Nodes, Missing: s.Missing,
+	r := Report{At: at.UTC(), EventGroups: groupEvents(s.Events), EventsLost: s.EventsLost, Nodes: s.Nodes, Missing: s.Missing,
 		Version: s.Objectives.Version, Seconds: s.Seconds}
 	for i, w := range Windows {
 		for _, n := range s.Nodes {
 			if !n.Since.After(at.Add(-w.Length)) {
-				r.Whole[i]++
+				r.NodesWithFullData[i]++
 			}
 		}
 	}
@@ -146,17 +146,17 @@
 		rest = rest[n:]
 	}
 	slices.SortStableFunc(r.Rows, func(a, b Row) int {
-		return cmp.Compare(slices.Index(verdicts, a.Verdict), slices.Index(verdicts, b.Verdict))
+		return cmp.Compare(slices.Index(statuses, a.Status), slices.Index(statuses, b.Status))
 	})
 	return r
 }
 
-// newRow takes the series of one service and class.
+// newRow computes the row of one service and class from all its series.
 func newRow(series []Series, objectives Objectives, at time.Time) Row {
 	row := Row{Service: series[0].Service, Class: series[0].Class}
-	row.Objective, row.HasObjective = objectives.Of(row.Service)
+	row.Objective, row.HasObjective = objectives.ForService(row.Service)
 	for _, s := range series {
-		row.Minutes, row.Hours = row.Minutes.With(s.Minutes), row.Hours.With(s.Hours)
+		row.Minutes, row.Hours = row.Minutes.Plus(s.Minutes), row.Hours.Plus(s.Hours)
 	}
 	for i, w := range Windows {
 		c := w.sum(row.Minutes, row.Hours, at)
@@ -165,9 +165,9 @@
 			row.Burns[i].Rate = Rate(c, row.Objective.Answered)
 		}
 	}
-	row.Verdict = verdict(row)
+	row.Status = rowStatus(row)
 	for _, w := range Windows[1:] {
-		if row.Causes = causes(series, w, at); len(row.Causes) > 0 {
+		if row.Causes = largestCauses(series, w, at); len(row.Causes) > 0 {
 			row.CausesWindow = w
 			break
 		}
@@ -182,27 +182,27 @@
 	return minutes.Sum(minuteOf(at), int64(w.Length/time.Minute))
 }
 
-// verdict needs a short and a long window over the same rate: the long one so that a moment does not count, the short
-// one so that the verdict ends soon after its cause.
-func verdict(r Row) Verdict {
+// rowStatus requires that a short and a long window both exceed a burn rate: the long one filters out short spikes, and the
+// short one resets the status soon after its cause ends.
+func rowStatus(r Row) Status {
 	b := r.Burns
 	switch {
 	case b[2].Counts.Total()+b[3].Counts.Total() == 0:
-		return VerdictNoCalls
+		return StatusNoCalls
 	case !r.HasObjective:
-		return VerdictNoObjective
-	case min(b[0].Rate, b[1].Rate) >= fastRate:
-		return VerdictFast
-	case min(b[1].Rate, b[2].Rate) >= steadyRate:
-		return VerdictSteady
-	case min(b[2].Rate, b[3].Rate) > slowRate:
-		return VerdictSlow
+		return StatusNoObjective
+	case min(b[0].Rate, b[1].Rate) >= fastBurnRate:
+		return StatusFastBurn
+	case min(b[1].Rate, b[2].Rate) >= steadyBurnRate:
+		return StatusSteadyBurn
+	case min(b[2].Rate, b[3].Rate) > budgetBurnRate:
+		return StatusOverBudget
 	default:
-		return VerdictWithin
+		return StatusWithinBudget
 	}
 }
 
-func causes(series []Series, w Window, at time.Time) []Cause {
+func largestCauses(series []Series, w Window, at time.Time) []Cause {
 	var all []Cause
 	var bad int64
 	for _, s := range series {
@@ -221,20 +221,20 @@
 	return all[:min(len(all), maxCauses)]
 }
 
-// group joins the events of many nodes, since one cause lowers the limits of a whole service.
-func group(events []Event) []Group {
+// groupEvents combines the events of many nodes, since one cause can lower the limits of a service on all of them.
+func groupEvents(events []Event) []EventGroup {
 	type key struct {
 		kind    EventKind
 		subject string
 		hour    int64
 	}
-	groups, nodes := map[key]*Group{}, map[key]map[string]bool{}
+	groups, nodes := map[key]*EventGroup{}, map[key]map[string]bool{}
 	var order []key
 	for _, e := range events {
 		k := key{e.Kind, e.Subject, hourOf(e.From)}
 		g := groups[k]
 		if g == nil {
-			g = &Group{Kind: e.Kind, Subject: e.Subject, From: e.From, To: e.To}
+			g = &EventGroup{Kind: e.Kind, Subject: e.Subject, From: e.From, To: e.To}
 			groups[k], nodes[k] = g, map[string]bool{}
 			order = append(order, k)
 		}
@@ -245,14 +245,14 @@
 		g.Nodes = len(nodes[k])
 		g.Count += e.Count
 	}
-	all := make([]Group, len(order))
+	all := make([]EventGroup, len(order))
 	for i, k := range order {
 		all[i] = *groups[k]
 	}
 	return all
 }
 
-// RateText returns the rate with two digits, or a dash without an objective or calls.
+// RateText formats the burn rate of window i with two decimals, or as a dash if there is no objective or no calls.
 func (r Row) RateText(i int) string {
 	b := r.Burns[i]
 	switch {
@@ -265,8 +265,8 @@
 	}
 }
 
-// BurntBy returns the bad calls of a window by kind.
-func (b Burn) BurntBy() string {
+// BadCallsByKind formats the number of bad calls of each kind.
+func (b WindowBurn) BadCallsByKind() string {
 	var parts []string
 	for _, k := range BadKinds {
 		if n := b.Counts[k]; n > 0 {
@@ -279,7 +279,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// ObjectiveText returns the objective with the line that states it, or how to state one.
+// ObjectiveText formats the objective with the line that sets it, or explains how to add one.
 func (r Row) ObjectiveText() string {
 	if !r.HasObjective {
 		return "add an [objective " + r.Service + "] to the rules to measure it"
--- a/burn/size_test.go
+++ b/burn/size_test.go
@@ -9,7 +9,7 @@
 	"lovagelane/kernel"
 )
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -17,16 +17,16 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkSeriesMemory measures the heap of a series of the burn report.
+// BenchmarkSeriesMemory measures the heap memory of one series.
 func BenchmarkSeriesMemory(b *testing.B) {
-	const measured = 200
+	const seriesCount = 200
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		r := burn.NewRecorder(burn.Node{ID: "node"}, kernel.SystemClock{})
-		for i := range measured {
+		for i := range seriesCount {
 			r.Record(burn.Key{Service: fmt.Sprintf("service-%d", i)}, burn.KindGood)
 		}
-		b.ReportMetric(float64(heap()-before)/measured, "B/series")
+		b.ReportMetric(float64(heapBytes()-before)/seriesCount, "B/series")
 		runtime.KeepAlive(r)
 	}
 }
--- a/burn/snapshot.go
+++ b/burn/snapshot.go
@@ -8,12 +8,12 @@
 	"lovagelane/inventory"
 )
 
-// Key names what calls are counted by.
+// Key identifies a series of counts.
 type Key struct {
 	Service   string `json:"service"`
 	Class     string `json:"class"`
 	Operation string `json:"operation"`
-	// AvailabilityZone is where the call was served; a Recorder replaces an empty one by its own.
+	// AvailabilityZone is the zone that served the call; a Recorder replaces an empty one with its own.
 	AvailabilityZone string `json:"availability-zone"`
 }
 
@@ -22,44 +22,44 @@
 		cmp.Compare(k.Operation, other.Operation), cmp.Compare(k.AvailabilityZone, other.AvailabilityZone))
 }
 
-// Series are the calls of one key.
+// Series holds the calls of one key.
 type Series struct {
 	Key
 	Minutes Buckets `json:"minutes"`
 	Hours   Buckets `json:"hours"`
 }
 
-// Node is a source of counts.
+// Node identifies a node and the period of its counts.
 type Node struct {
 	ID               string `json:"id"`
 	Address          string `json:"address"`
 	Region           string `json:"region"`
 	AvailabilityZone string `json:"availability-zone"`
-	// Since is when the node started to count.
+	// Since is the time at which the node started to count.
 	Since time.Time `json:"since"`
-	// Taken is the node's own time of the snapshot.
-	Taken time.Time `json:"taken"`
+	// SnapshotTime is the time of the snapshot by the node's clock.
+	SnapshotTime time.Time `json:"taken"`
 }
 
-// Missing is a node that gave no snapshot.
+// Missing is a node that did not return a valid snapshot.
 type Missing struct {
 	Address string `json:"address"`
 	Problem string `json:"problem"`
 }
 
-// EventKind names a protective state that a node entered.
+// EventKind is a protective state: a reaction of a node to overload or to failures of backend servers.
 type EventKind string
 
 const (
-	// EventEjected means that a backend server was avoided.
+	// EventEjected means that a node excluded a backend server from selection.
 	EventEjected EventKind = "ejected"
-	// EventQuarantined means that a request that crashes backend servers is refused.
+	// EventQuarantined means that a node refused a request that crashes backend servers.
 	EventQuarantined EventKind = "quarantined"
-	// EventLimitLowered means that a learned concurrency limit fell.
+	// EventLimitLowered means that an adaptive concurrency limit decreased.
 	EventLimitLowered EventKind = "limit-lowered"
 )
 
-// Event is a protective state with the times when it was first and last entered.
+// Event is a protective state with the times at which it was first and last entered.
 type Event struct {
 	Kind    EventKind `json:"kind"`
 	Subject string    `json:"subject"`
@@ -74,36 +74,36 @@
 		cmp.Compare(e.Node, other.Node), e.To.Compare(other.To), cmp.Compare(e.Count, other.Count))
 }
 
-// Objective is the share of a service's calls that must be answered and the duration within which.
+// Objective is a service-level objective: the fraction of a service's calls that are to be answered within a duration.
 type Objective struct {
 	Service  string        `json:"service"`
 	Answered float64       `json:"answered"`
 	Within   time.Duration `json:"within-ns"`
-	// Line is the file and line that states it.
+	// Line is the file and line that set the objective.
 	Line string `json:"line"`
 }
 
-// Objectives are those of one version of the configuration.
+// Objectives holds the objectives of one version of the configuration.
 type Objectives struct {
 	Version uint64      `json:"version"`
 	List    []Objective `json:"list"`
 }
 
-// ObjectivesOf returns the objectives of a configuration, none for nil.
+// ObjectivesOf returns the objectives of a configuration, or no objectives if cfg is nil.
 func ObjectivesOf(cfg *inventory.Config) Objectives {
 	if cfg == nil {
 		return Objectives{}
 	}
 	o := Objectives{Version: cfg.Version()}
-	for _, stated := range cfg.Objectives() {
-		o.List = append(o.List, Objective{Service: stated.Service, Answered: stated.Answered, Within: stated.Within,
-			Line: stated.Line.String()})
+	for _, objective := range cfg.Objectives() {
+		o.List = append(o.List, Objective{Service: objective.Service, Answered: objective.Answered, Within: objective.Within,
+			Line: objective.Line.String()})
 	}
 	return o
 }
 
-// Of returns the objective of a service.
-func (o Objectives) Of(service string) (Objective, bool) {
+// ForService returns the objective of a service.
+func (o Objectives) ForService(service string) (Objective, bool) {
 	for _, objective := range o.List {
 		if objective.Service == service {
 			return objective, true
@@ -112,50 +112,50 @@
 	return Objective{}, false
 }
 
-// Snapshot is what one node or several counted.
+// Snapshot holds the counts, events and objectives of one or more nodes.
 type Snapshot struct {
 	Nodes      []Node     `json:"nodes"`
 	Missing    []Missing  `json:"missing,omitempty"`
 	Objectives Objectives `json:"objectives"`
 	Series     []Series   `json:"series"`
-	// Seconds are all calls of the last 5 minutes.
+	// Seconds counts all calls of the last 5 minutes.
 	Seconds Buckets `json:"seconds"`
 	Events  []Event `json:"events"`
-	// EventsLost is the number of events that did not fit into the nodes' memory.
+	// EventsLost is the number of events that nodes dropped because their buffers were full.
 	EventsLost int64 `json:"events-lost,omitempty"`
 }
 
-// Merge joins the snapshots of several nodes; the order does not matter. The objectives of the newest configuration
-// count.
+// Merge merges the snapshots of several nodes; the result does not depend on their order. It keeps the objectives of the
+// newest configuration.
 func Merge(snapshots ...Snapshot) Snapshot {
-	var all Snapshot
+	var merged Snapshot
 	series := map[Key]Series{}
 	for _, s := range snapshots {
-		all.Nodes = append(all.Nodes, s.Nodes...)
-		all.Missing = append(all.Missing, s.Missing...)
-		all.Events = append(all.Events, s.Events...)
-		all.EventsLost += s.EventsLost
-		all.Seconds = all.Seconds.With(s.Seconds)
-		if o := s.Objectives; o.Version > all.Objectives.Version ||
-			o.Version == all.Objectives.Version && all.Objectives.List == nil {
-			all.Objectives = o
+		merged.Nodes = append(merged.Nodes, s.Nodes...)
+		merged.Missing = append(merged.Missing, s.Missing...)
+		merged.Events = append(merged.Events, s.Events...)
+		merged.EventsLost += s.EventsLost
+		merged.Seconds = merged.Seconds.Plus(s.Seconds)
+		if o := s.Objectives; o.Version > merged.Objectives.Version ||
+			o.Version == merged.Objectives.Version && merged.Objectives.List == nil {
+			merged.Objectives = o
 		}
-		for _, add := range s.Series {
-			sum := series[add.Key]
-			series[add.Key] = Series{add.Key, sum.Minutes.With(add.Minutes), sum.Hours.With(add.Hours)}
+		for _, part := range s.Series {
+			sum := series[part.Key]
+			series[part.Key] = Series{part.Key, sum.Minutes.Plus(part.Minutes), sum.Hours.Plus(part.Hours)}
 		}
 	}
 	for _, s := range series {
-		all.Series = append(all.Series, s)
+		merged.Series = append(merged.Series, s)
 	}
-	slices.SortFunc(all.Series, func(a, b Series) int { return a.Key.compare(b.Key) })
-	slices.SortFunc(all.Events, Event.compare)
-	slices.SortFunc(all.Nodes, func(a, b Node) int {
+	slices.SortFunc(merged.Series, func(a, b Series) int { return a.Key.compare(b.Key) })
+	slices.SortFunc(merged.Events, Event.compare)
+	slices.SortFunc(merged.Nodes, func(a, b Node) int {
 		return cmp.Or(cmp.Compare(a.AvailabilityZone, b.AvailabilityZone), a.Since.Compare(b.Since),
 			cmp.Compare(a.ID, b.ID), cmp.Compare(a.Address, b.Address))
 	})
-	slices.SortFunc(all.Missing, func(a, b Missing) int {
+	slices.SortFunc(merged.Missing, func(a, b Missing) int {
 		return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Problem, b.Problem))
 	})
-	return all
+	return merged
 }
--- a/burn/text.go
+++ b/burn/text.go
@@ -28,11 +28,11 @@
 }
 
 func (r Row) writeText(out io.Writer) {
-	fmt.Fprintf(out, "%s / %s: %s; %s\n", r.Service, r.Class, r.Verdict, r.ObjectiveText())
+	fmt.Fprintf(out, "%s / %s: %s; %s\n", r.Service, r.Class, r.Status, r.ObjectiveText())
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "  window\tcalls\tburn rate\tburnt by")
 	for i, b := range r.Burns {
-		fmt.Fprintf(t, "  %s\t%d\t%s\t%s\n", Windows[i].Name, b.Counts.Total(), r.RateText(i), b.BurntBy())
+		fmt.Fprintf(t, "  %s\t%d\t%s\t%s\n", Windows[i].Name, b.Counts.Total(), r.RateText(i), b.BadCallsByKind())
 	}
 	_ = t.Flush()
 	for _, c := range r.Causes {
@@ -49,11 +49,11 @@
 func (r Report) writeEvents(out io.Writer) {
 	fmt.Fprintln(out, "Protective states:")
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, g := range r.Groups {
-		fmt.Fprintf(t, "  %s\t%s\t%s\t%s\n", g.Span(), g.Kind, g.Subject, g.Extent())
+	for _, g := range r.EventGroups {
+		fmt.Fprintf(t, "  %s\t%s\t%s\t%s\n", g.Span(), g.Kind, g.Subject, g.Occurrences())
 	}
 	_ = t.Flush()
-	if len(r.Groups) == 0 {
+	if len(r.EventGroups) == 0 {
 		fmt.Fprintln(out, "  none")
 	}
 	if r.EventsLost > 0 {
@@ -62,33 +62,37 @@
 	fmt.Fprintln(out)
 }
 
-// Span returns the times of the first and the last entry.
-func (g Group) Span() string { return g.From.Format(reportTime) + " to " + g.To.Format(reportTime) }
+// Span formats the times at which the state was first and last entered.
+func (g EventGroup) Span() string {
+	return g.From.Format(reportTime) + " to " + g.To.Format(reportTime)
+}
 
-// Extent returns how often the state was entered and on how many nodes.
-func (g Group) Extent() string { return fmt.Sprintf("%d times on %d nodes", g.Count, g.Nodes) }
+// Occurrences formats how often the state was entered and on how many nodes.
+func (g EventGroup) Occurrences() string {
+	return fmt.Sprintf("%d times on %d nodes", g.Count, g.Nodes)
+}
 
 func (r Report) writeNodes(out io.Writer) {
 	fmt.Fprintln(out, "Data (nodes keep nothing over a restart):")
 	for i, w := range Windows {
-		fmt.Fprintf(out, "  %s: %d of %d nodes have data for the whole window\n", w.Name, r.Whole[i], len(r.Nodes))
+		fmt.Fprintf(out, "  %s: %d of %d nodes have data for the whole window\n", w.Name, r.NodesWithFullData[i], len(r.Nodes))
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, m := range r.Missing {
 		fmt.Fprintf(t, "  %s\tdid not answer\t%s\n", m.Address, m.Problem)
 	}
 	for _, n := range r.Nodes {
-		fmt.Fprintf(t, "  %s\t%s\tsince %s%s\n", n.Address, n.AvailabilityZone, n.Since.Format(reportTime), r.ClockNote(n))
+		fmt.Fprintf(t, "  %s\t%s\tsince %s%s\n", n.Address, n.AvailabilityZone, n.Since.Format(reportTime), r.ClockSkewNote(n))
 	}
 	_ = t.Flush()
 }
 
-// clockTolerance is the difference of clocks that is reported; calls of such a node are in the wrong minutes.
-const clockTolerance = 30 * time.Second
+// maxClockSkew is the clock difference above which a node is reported, since its calls are counted in the wrong minutes.
+const maxClockSkew = 30 * time.Second
 
-// ClockNote warns when the clock of a node differs from that of the report.
-func (r Report) ClockNote(n Node) string {
-	if d := n.Taken.Sub(r.At); d.Abs() > clockTolerance && !n.Taken.IsZero() {
+// ClockSkewNote returns a warning if the clock of a node differs from that of the report, or "".
+func (r Report) ClockSkewNote(n Node) string {
+	if d := n.SnapshotTime.Sub(r.At); d.Abs() > maxClockSkew && !n.SnapshotTime.IsZero() {
 		return fmt.Sprintf(", its clock differs by %s", d.Round(time.Second))
 	}
 	return ""
