--- a/command/apply.go
+++ b/command/apply.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// applyWait is how long apply waits for the configuration to be in force; the target is 14 s.
-	applyWait = 30 * time.Second
-	// applyPoll is the pause between two rounds of questions to the nodes.
-	applyPoll = 250 * time.Millisecond
+	// defaultApplyWait bounds the wait for the configuration to be in force on all nodes; the target is 14 s.
+	defaultApplyWait = 30 * time.Second
+	// applyPollInterval is the pause between two polls of the nodes.
+	applyPollInterval = 250 * time.Millisecond
 )
 
 func init() { Commands.Register("apply", addApply) }
 
-// applyFlags are what the operator states.
+// applyFlags holds the arguments and flags of the apply command.
 type applyFlags struct {
 	dir, store, keys, by, format string
 	base                         int64
@@ -50,7 +50,7 @@
 	cmd.Flag("keys", "The directory with the operator's key.").ExistingDirVar(&f.keys)
 	cmd.Flag("base", "The version that the change was planned against.").Default("-1").Int64Var(&f.base)
 	cmd.Flag("by", "Who applies the change.").Default(userName()).StringVar(&f.by)
-	cmd.Flag("wait", "How long to wait for it to be in force.").Default(applyWait.String()).DurationVar(&f.wait)
+	cmd.Flag("wait", "How long to wait for it to be in force.").Default(defaultApplyWait.String()).DurationVar(&f.wait)
 	format := formatFlag(cmd)
 	cmd.Action(func(*kingpin.ParseContext) error {
 		f.format = *format
@@ -65,14 +65,14 @@
 	return "unknown"
 }
 
-// applied is the result as scripts read it.
-type applied struct {
+// applyResult is the JSON output of the apply command.
+type applyResult struct {
 	Accepted bool           `json:"accepted"`
 	Version  uint64         `json:"version"`
 	ApplyID  string         `json:"apply-id"`
 	Changes  []changeRecord `json:"changes"`
 	InForce  int            `json:"nodes-in-force"`
-	Waiting  []string       `json:"nodes-not-in-force"`
+	Pending  []string       `json:"nodes-not-in-force"`
 	Took     string         `json:"took"`
 }
 
@@ -91,26 +91,27 @@
 	if err != nil {
 		return Exit{Code: CodeNotAccepted, Err: err}
 	}
-	began := time.Now()
+	start := time.Now()
 	accepted, err := rollout.Apply(ctx, store, cfg.Files(), f.by, base)
 	if err != nil {
-		return Exit{Code: CodeNotAccepted, Err: notAccepted(ctx, store, err)}
+		return Exit{Code: CodeNotAccepted, Err: addConflicts(ctx, store, err)}
 	}
-	result := applied{Accepted: true, Version: accepted.Version, ApplyID: accepted.ApplyID, Changes: changeRecords(changes),
-		Waiting: []string{}}
+	result := applyResult{Accepted: true, Version: accepted.Version, ApplyID: accepted.ApplyID, Changes: changeRecords(changes),
+		Pending: []string{}}
 	if f.keys != "" {
 		if err := watchRollout(ctx, f, &result); err != nil {
 			return Exit{Code: CodeNotAccepted, Err: err}
 		}
 	}
-	result.Took = time.Since(began).Round(time.Millisecond).String()
-	return writeApplied(env, f, result, changes)
+	result.Took = time.Since(start).Round(time.Millisecond).String()
+	return writeApplyResult(env, f, result, changes)
 }
 
-// compare returns the version to build on and what the files change against the accepted one.
+// compare returns the base version for the change and the differences from the accepted configuration. A
+// non-negative base replaces the accepted version as the base version.
 func compare(ctx context.Context, store tablestore.Store, cfg *inventory.Config, base int64) (uint64, []inventory.Change, error) {
 	old, version, err := acceptedConfig(ctx, store)
-	if err != nil && !errors.Is(err, errTextMissing) {
+	if err != nil && !errors.Is(err, errConfigMissing) {
 		return 0, nil, fmt.Errorf("not accepted, nothing changed: %w", err)
 	}
 	changes := inventory.Plan(old, cfg)
@@ -120,27 +121,28 @@
 	return version, changes, nil
 }
 
-// acceptedConfig returns the accepted configuration and its version, or nil and 0 when the store holds none.
+// acceptedConfig returns the accepted configuration and its version, or nil and 0 if the store has none.
 func acceptedConfig(ctx context.Context, store tablestore.Store) (*inventory.Config, uint64, error) {
 	current, ok, err := rollout.Current(ctx, store)
 	if err != nil || !ok {
 		return nil, 0, err
 	}
-	cfg, err := readText(ctx, store, current)
+	cfg, err := loadConfig(ctx, store, current)
 	return cfg, current.Version, err
 }
 
-// errTextMissing means that the store lost a text. Apply goes on without it, because applying again is the remedy.
-var errTextMissing = errors.New("the store has lost the text")
+// errConfigMissing means that the store has lost the text of a configuration. Apply ignores this error, because applying
+// the files again is the remedy.
+var errConfigMissing = errors.New("the store has lost the text")
 
-// readText returns an accepted configuration, or nil when this release finds problems in it.
-func readText(ctx context.Context, store tablestore.Store, a rollout.Accepted) (*inventory.Config, error) {
+// loadConfig reads an accepted configuration from the store. It returns nil if this release finds problems in it.
+func loadConfig(ctx context.Context, store tablestore.Store, a rollout.Accepted) (*inventory.Config, error) {
 	text, found, err := store.Object(ctx, a.Hash)
 	if err != nil {
 		return nil, fmt.Errorf("the text of version %d cannot be read: %w", a.Version, err)
 	}
 	if !found {
-		return nil, fmt.Errorf("%w of version %d: apply that version's files again", errTextMissing, a.Version)
+		return nil, fmt.Errorf("%w of version %d: apply that version's files again", errConfigMissing, a.Version)
 	}
 	files, err := rollout.Decode(text)
 	if err != nil {
@@ -150,8 +152,8 @@
 	return cfg, nil
 }
 
-// notAccepted adds to a stale base who changed what since then.
-func notAccepted(ctx context.Context, store tablestore.Store, err error) error {
+// addConflicts extends a rollout.StaleError with the author and the changes of each version accepted since the base.
+func addConflicts(ctx context.Context, store tablestore.Store, err error) error {
 	var stale *rollout.StaleError
 	if !errors.As(err, &stale) {
 		return err
@@ -159,7 +161,7 @@
 	text := err.Error()
 	for _, a := range stale.Since {
 		text += fmt.Sprintf("\n  version %d by %s, apply id %s", a.Version, a.By, a.ApplyID)
-		changes, err := changesOf(ctx, store, a)
+		changes, err := changesInVersion(ctx, store, a)
 		if err != nil {
 			text += fmt.Sprintf("\n    its changes cannot be read: %v", err)
 		}
@@ -170,30 +172,30 @@
 	return errors.New(text)
 }
 
-// changesOf returns what an accepted configuration changed against the version before it.
-func changesOf(ctx context.Context, store tablestore.Store, a rollout.Accepted) ([]inventory.Change, error) {
+// changesInVersion returns the differences between an accepted configuration and the version before it.
+func changesInVersion(ctx context.Context, store tablestore.Store, a rollout.Accepted) ([]inventory.Change, error) {
 	var old *inventory.Config
 	before, found, err := rollout.Version(ctx, store, a.Version-1)
 	if err != nil {
 		return nil, err
 	}
 	if found {
-		if old, err = readText(ctx, store, before); err != nil {
+		if old, err = loadConfig(ctx, store, before); err != nil {
 			return nil, err
 		}
 	}
-	cfg, err := readText(ctx, store, a)
+	cfg, err := loadConfig(ctx, store, a)
 	if err != nil {
 		return nil, err
 	}
 	if cfg == nil {
-		return nil, errors.New("this release does not understand its text: use the release that applied it")
+		return nil, errors.New("this release cannot parse this version: use the release that applied it")
 	}
 	return inventory.Plan(old, cfg), nil
 }
 
-// watchRollout waits until every node that answers has the version in force.
-func watchRollout(ctx context.Context, f *applyFlags, result *applied) error {
+// watchRollout polls the nodes until all of them have the version in force or the wait time has passed.
+func watchRollout(ctx context.Context, f *applyFlags, result *applyResult) error {
 	fl, err := fleet.Open(f.keys)
 	if err != nil {
 		return err
@@ -206,11 +208,11 @@
 	}
 	fl.Notify(ctx, members)
 	for {
-		result.InForce, result.Waiting = inForce(fleet.AskAll[fleet.Version](ctx, fl, members, fleet.PathVersion), result.Version)
-		if len(result.Waiting) == 0 || ctx.Err() != nil {
+		result.InForce, result.Pending = countInForce(fleet.AskAll[fleet.Version](ctx, fl, members, fleet.PathVersion), result.Version)
+		if len(result.Pending) == 0 || ctx.Err() != nil {
 			return nil
 		}
-		pause := time.NewTimer(applyPoll)
+		pause := time.NewTimer(applyPollInterval)
 		select {
 		case <-pause.C:
 		case <-ctx.Done():
@@ -218,26 +220,26 @@
 	}
 }
 
-func inForce(answers []fleet.Answer[fleet.Version], version uint64) (int, []string) {
-	count, waiting := 0, []string{}
+func countInForce(answers []fleet.Answer[fleet.Version], version uint64) (int, []string) {
+	count, pending := 0, []string{}
 	for _, a := range answers {
 		switch {
 		case a.Err != nil:
-			waiting = append(waiting, nodeName(a.Member)+" does not answer")
+			pending = append(pending, nodeName(a.Member)+" does not answer")
 		case a.Value.ConfigurationVersion < version:
-			waiting = append(waiting, fmt.Sprintf("%s has version %d", nodeName(a.Member), a.Value.ConfigurationVersion))
+			pending = append(pending, fmt.Sprintf("%s has version %d", nodeName(a.Member), a.Value.ConfigurationVersion))
 		default:
 			count++
 		}
 	}
-	return count, waiting
+	return count, pending
 }
 
 func nodeName(m membership.Member) string {
 	return fmt.Sprintf("%s/%s %s", m.Service, m.AvailabilityZone, m.Calls)
 }
 
-func writeApplied(env *Env, f *applyFlags, result applied, changes []inventory.Change) error {
+func writeApplyResult(env *Env, f *applyFlags, result applyResult, changes []inventory.Change) error {
 	if f.format == formatJSON {
 		if err := writeJSON(env.Out, result); err != nil {
 			return err
@@ -250,11 +252,11 @@
 		if f.keys != "" {
 			fmt.Fprintf(env.Out, "in force on %d nodes after %s\n", result.InForce, result.Took)
 		}
-		for _, w := range result.Waiting {
+		for _, w := range result.Pending {
 			fmt.Fprintf(env.Out, "not in force: %s\n", w)
 		}
 	}
-	if len(result.Waiting) > 0 {
+	if len(result.Pending) > 0 {
 		return Exit{Code: CodeNotAccepted, Err: errReported}
 	}
 	return nil
--- a/command/check.go
+++ b/command/check.go
@@ -26,13 +26,13 @@
 
 func check(env *Env, dir, format string) error {
 	cfg, err := readConfig(dir)
-	var found setting.Problems
-	if format == formatText && errors.As(err, &found) {
-		fmt.Fprintln(env.Out, found)
+	var problems setting.Problems
+	if format == formatText && errors.As(err, &problems) {
+		fmt.Fprintln(env.Out, problems)
 		return problem(errReported)
 	}
 	if err != nil {
-		return reported(env, format, err)
+		return reportProblems(env, format, err)
 	}
 	if format == formatJSON {
 		return writeProblems(env, nil)
--- a/command/command.go
+++ b/command/command.go
@@ -15,13 +15,13 @@
 
 // Exit codes of all commands; the help text documents them.
 const (
-	// CodeOK means that the command did what it was asked for.
+	// CodeOK means that the command succeeded.
 	CodeOK = 0
-	// CodeProblem means that a problem was found or that something failed.
+	// CodeProblem means that the command found a problem or failed.
 	CodeProblem = 1
-	// CodeUsage means that the command line is wrong.
+	// CodeUsage means that the command line is invalid.
 	CodeUsage = 2
-	// CodeNotAccepted means that something could not be reached, or that a change was not accepted.
+	// CodeNotAccepted means that a node or the store was unreachable, or that a change was not accepted.
 	CodeNotAccepted = 3
 )
 
@@ -29,22 +29,22 @@
 
 Exit codes: 0 done; 1 a problem was found; 2 wrong usage; 3 not reachable or not accepted.`
 
-// longHelp shows the examples of the selected command below its flags.
+// longHelp is the usage template that prints the examples of the selected command below its flags.
 const longHelp = `{{with .Context.SelectedCommand}}{{with .HelpLong}}{{. | Wrap 0}}{{end}}{{end}}`
 
-// Env is what a command may use of the process.
+// Env holds the output streams of a command.
 type Env struct {
-	// Out takes results, and Err takes what went wrong. No colours are written to either.
+	// Out receives results and Err receives error messages. Neither receives colour codes.
 	Out, Err io.Writer
 }
 
-// Command adds one command to the command line.
+// Command adds one command to the application.
 type Command func(app *kingpin.Application, env *Env)
 
-// Commands holds every command by name.
+// Commands is the registry of all commands by name.
 var Commands kernel.Registry[Command]
 
-// Exit is an error that ends the process with a code.
+// Exit is an error that carries the exit code of the process.
 type Exit struct {
 	Code int
 	Err  error
@@ -56,7 +56,7 @@
 // Unwrap returns the cause.
 func (e Exit) Unwrap() error { return e.Err }
 
-// problem marks an error as one that the command found, as opposed to wrong usage.
+// problem wraps an error so that the process exits with CodeProblem instead of CodeUsage.
 func problem(err error) error {
 	if err == nil {
 		return nil
@@ -64,24 +64,24 @@
 	return Exit{Code: CodeProblem, Err: err}
 }
 
-// errReported is the cause for commands whose results already tell what is wrong.
+// errReported is the cause when the command's output already lists the problems, so that Run prints nothing more.
 var errReported = errors.New("problems were found")
 
-// terminated carries the code with which kingpin wants to end the process, after it wrote help.
-type terminated int
+// terminateCode is the panic value that carries kingpin's exit code after it has printed help.
+type terminateCode int
 
-// Run runs the command line and returns the exit code.
+// Run parses and runs a command line and returns the exit code.
 func Run(args []string, env *Env) (code int) {
 	app := kingpin.New("lovagelane", help)
 	app.UsageTemplate(kingpin.DefaultUsageTemplate + longHelp)
 	app.UsageWriter(env.Out).ErrorWriter(env.Err)
 	app.HelpFlag.Help("Show help for the program or a command.").Short('h')
-	// kingpin would go on and run the command after help if the process did not end there.
-	app.Terminate(func(code int) { panic(terminated(code)) })
+	// Unless Terminate stops it, kingpin runs the command after printing its help.
+	app.Terminate(func(code int) { panic(terminateCode(code)) })
 	defer func() {
 		switch r := recover().(type) {
 		case nil:
-		case terminated:
+		case terminateCode:
 			code = max(code, int(r))
 		default:
 			panic(r)
@@ -90,7 +90,7 @@
 	for _, name := range Commands.Names() {
 		add, err := Commands.Lookup(name)
 		if err != nil {
-			panic(err) // The name was listed above.
+			panic(err) // Unreachable: Names returned this name.
 		}
 		add(app, env)
 	}
@@ -104,12 +104,12 @@
 
 func exitCode(err error, env *Env) int {
 	var exit Exit
-	var found setting.Problems
+	var problems setting.Problems
 	switch {
 	case err == nil:
 		return CodeOK
-	case errors.As(err, &found):
-		fmt.Fprintln(env.Err, found)
+	case errors.As(err, &problems):
+		fmt.Fprintln(env.Err, problems)
 		return CodeProblem
 	case errors.As(err, &exit):
 		if !errors.Is(exit.Err, errReported) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// usageRemedy tells what to do about a wrong command line.
+// usageRemedy returns the remedy for an invalid command line.
 func usageRemedy(err error) string {
 	text := err.Error()
 	if strings.Contains(text, "is a file") || strings.HasPrefix(text, "unexpected ") && strings.HasSuffix(text, ".ini") {
@@ -136,7 +136,7 @@
 	formatJSON = "json"
 )
 
-// formatFlag adds the flag that chooses between text for people and JSON for scripts.
+// formatFlag adds the flag that selects text or JSON output.
 func formatFlag(cmd *kingpin.CmdClause) *string {
 	return cmd.Flag("format", "Write text for people or json for scripts.").Default(formatText).Enum(formatText, formatJSON)
 }
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -26,7 +26,7 @@
 	rules = "[class lookups]\nrank = 6\ndefault = yes\n"
 )
 
-func dir(t *testing.T, inventory, rules string) string {
+func writeDir(t *testing.T, inventory, rules string) string {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "inventory.ini"), []byte(inventory), 0o600))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "rules.ini"), []byte(rules), 0o600))
@@ -39,13 +39,13 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// Guards against exit codes and results that differ from what the help documents.
+// Guards against exit codes and output that differ from the help text.
 func TestCommands(t *testing.T) {
-	old := dir(t, oldInventory, rules)
-	next := dir(t, strings.Replace(oldInventory, "slots = 7", "slots = 8", 1), rules)
-	orders := dir(t, oldInventory, rules+"[request order]\nservice = maps\nmethod = POST\npath = /orders\nclass = lookups\n"+
+	old := writeDir(t, oldInventory, rules)
+	next := writeDir(t, strings.Replace(oldInventory, "slots = 7", "slots = 8", 1), rules)
+	orders := writeDir(t, oldInventory, rules+"[request order]\nservice = maps\nmethod = POST\npath = /orders\nclass = lookups\n"+
 		"non-idempotent = yes\ntimeout = 1s\n")
-	bad := dir(t, strings.Replace(oldInventory, "timeout = 2s", "timeout = 2", 1), rules)
+	bad := writeDir(t, strings.Replace(oldInventory, "timeout = 2s", "timeout = 2", 1), rules)
 	problem := bad + "/inventory.ini:5: timeout = 2 has no unit: add the unit: s or ms\n"
 	for _, c := range []struct {
 		args     string
@@ -92,9 +92,9 @@
 	}
 }
 
-// Guards against JSON that scripts cannot read, and against an empty list that is written as null.
+// Guards against JSON output that scripts cannot parse, and against empty lists written as null.
 func TestJSON(t *testing.T) {
-	old := dir(t, oldInventory, rules)
+	old := writeDir(t, oldInventory, rules)
 	for args, want := range map[string]string{
 		"check --format=json " + old:                   `{"ok":true,"problems":[]}`,
 		"plan --format=json --from=" + old + " " + old: `{"changes":[]}`,
@@ -105,7 +105,7 @@
 		require.Equal(t, command.CodeOK, code, err)
 		require.JSONEq(t, want, out)
 	}
-	bad := dir(t, oldInventory, "")
+	bad := writeDir(t, oldInventory, "")
 	for _, args := range []string{"check " + bad, "plan " + bad, "plan --from=" + bad + " " + old, "explain maps --dir=" + bad} {
 		code, out, err := run(append(strings.Fields(args), "--format=json")...)
 		require.Equal(t, command.CodeProblem, code)
@@ -115,7 +115,7 @@
 	}
 }
 
-// Guards against help that ends in a run of the command, and against commands without examples or exit codes.
+// Guards against --help running the command, and against commands whose help lacks examples or exit codes.
 func TestHelp(t *testing.T) {
 	code, out, err := run()
 	require.Equal(t, command.CodeUsage, code)
@@ -130,7 +130,7 @@
 	}
 }
 
-// Guards against a node that starts with settings that have problems, or whose failure is not in the exit code.
+// Guards against a node that starts with invalid settings, and against a node failure that the exit code does not show.
 func TestNode(t *testing.T) {
 	text := "[node]\nservice = maps\navailability-zone = rn-1\nbackend-server = 127.0.0.1:1\ncallers-listen = 127.0.0.1:2\n" +
 		"backend-listen = 127.0.0.1:3\ncalls-listen = 127.0.0.1:4\ncontrol-listen = 127.0.0.1:4\nstore = http://127.0.0.1:5\n" +
@@ -155,7 +155,7 @@
 	require.Equal(t, []string{"maps"}, started)
 }
 
-// Guards against a plan that an operator cannot pass to apply, because it was not made against the accepted version.
+// Guards against a plan whose printed base version is not the accepted version, so that apply would refuse the change.
 func TestPlanAgainstStore(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -164,8 +164,8 @@
 	t.Cleanup(func() { _ = group.Stop() })
 	store := "--store=http://" + ln.Addr().String()
 
-	old := dir(t, oldInventory, rules)
-	next := dir(t, strings.Replace(oldInventory, "count = 1", "count = 2", 1), rules)
+	old := writeDir(t, oldInventory, rules)
+	next := writeDir(t, strings.Replace(oldInventory, "count = 1", "count = 2", 1), rules)
 	code, out, errText := run("plan", store, old)
 	require.Equal(t, command.CodeOK, code, errText)
 	require.Contains(t, out, "+ region rn (inventory.ini:1)\n")
@@ -187,8 +187,9 @@
 	require.Equal(t, 1, strings.Count(errText, "\n"), errText)
 }
 
-// Guards against a store that lost a text and then refuses the apply that would repair it.
-func TestApplyRepairsALostText(t *testing.T) {
+// Guards against a failing apply when the store has lost the text of the accepted configuration, since applying the files
+// again is the remedy.
+func TestApplyWithLostConfiguration(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	group := kernel.NewGroup(context.Background())
@@ -202,7 +203,7 @@
 	_, err = client.Transact(t.Context(), tablestore.ConfigTable, []tablestore.Write{{Key: tablestore.CurrentKey, Value: string(row)}})
 	require.NoError(t, err)
 
-	store, files := "--store=http://"+ln.Addr().String(), dir(t, oldInventory, rules)
+	store, files := "--store=http://"+ln.Addr().String(), writeDir(t, oldInventory, rules)
 	code, _, errText := run("plan", store, files)
 	require.Equal(t, command.CodeNotAccepted, code)
 	require.Contains(t, errText, "the store has lost the text of version 1: apply that version's files again")
--- a/command/doc.go
+++ b/command/doc.go
@@ -1,3 +1,3 @@
-// Package command is lovagelane's command line. Each command has a file of its own and adds itself to Commands from an
-// init function; see check.go for the shape.
+// Package command implements the lovagelane command line. Each command has its own file and registers itself in Commands
+// from an init function; check.go is the simplest example.
 package command
--- a/command/drain.go
+++ b/command/drain.go
@@ -11,8 +11,8 @@
 	"lovagelane/fleet"
 )
 
-// drainWait is the longest wait for calls in flight; it is a little longer than a node's own bound.
-const drainWait = 310 * time.Second
+// drainTimeout bounds the wait for calls in flight. It is slightly longer than a node's own drain timeout.
+const drainTimeout = 310 * time.Second
 
 func init() { Commands.Register("drain", addDrain) }
 
@@ -35,7 +35,7 @@
 	if err != nil {
 		return problem(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), drainWait)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := fl.Ask(ctx, address, http.MethodPost, fleet.PathDrain, nil); err != nil {
 		return Exit{Code: CodeNotAccepted, Err: err}
--- a/command/explain.go
+++ b/command/explain.go
@@ -31,7 +31,7 @@
 func explain(env *Env, dir string, words []string, format string) error {
 	cfg, err := readConfig(dir)
 	if err != nil {
-		return reported(env, format, err)
+		return reportProblems(env, format, err)
 	}
 	if isRequest(words) {
 		return explainRequest(env, cfg, words[1], words[2], format)
--- a/command/files.go
+++ b/command/files.go
@@ -10,8 +10,8 @@
 	"lovagelane/setting"
 )
 
-// readFiles reads the operators' files in a directory under their base names, so that lines read the same wherever the
-// files are checked out. A missing file is left to inventory.Parse to report.
+// readFiles reads inventory.ini and rules.ini from a directory. The files carry only their base names, so that positions
+// do not depend on where the files are checked out. inventory.Parse reports missing files.
 func readFiles(dir string) ([]inventory.File, error) {
 	var files []inventory.File
 	for _, name := range []string{inventory.InventoryFile, inventory.RulesFile} {
@@ -27,7 +27,7 @@
 	return files, nil
 }
 
-// readConfig reads a checked configuration, or returns setting.Problems whose lines name the files with their directory.
+// readConfig reads and validates a configuration. It returns setting.Problems whose positions include the directory.
 func readConfig(dir string) (*inventory.Config, error) {
 	files, err := readFiles(dir)
 	if err != nil {
@@ -43,21 +43,21 @@
 	return nil, problem(setting.Problems(problems))
 }
 
-// reported writes the problems that an error holds as JSON when a script asked for it, and leaves other errors to Run.
-func reported(env *Env, format string, err error) error {
-	var found setting.Problems
-	if format != formatJSON || !errors.As(err, &found) {
+// reportProblems writes setting.Problems as JSON if that is the output format. Run prints all other errors.
+func reportProblems(env *Env, format string, err error) error {
+	var problems setting.Problems
+	if format != formatJSON || !errors.As(err, &problems) {
 		return err
 	}
-	if err := writeProblems(env, found); err != nil {
+	if err := writeProblems(env, problems); err != nil {
 		return err
 	}
 	return problem(errReported)
 }
 
-func writeProblems(env *Env, found setting.Problems) error {
+func writeProblems(env *Env, problems setting.Problems) error {
 	return writeJSON(env.Out, struct {
 		OK       bool             `json:"ok"`
 		Problems setting.Problems `json:"problems"`
-	}{len(found) == 0, append(setting.Problems{}, found...)})
+	}{len(problems) == 0, append(setting.Problems{}, problems...)})
 }
--- a/command/node.go
+++ b/command/node.go
@@ -9,7 +9,8 @@
 	"lovagelane/settings"
 )
 
-// RunNode runs a node until it is told to stop; main sets it, so that operators' commands do not depend on the node.
+// RunNode runs a node until it receives a stop signal. Package main sets it, so that the operators' commands do not depend
+// on the node's code.
 var RunNode func(settings.Node) error
 
 func init() { Commands.Register("node", addNode) }
--- a/command/operations_test.go
+++ b/command/operations_test.go
@@ -10,11 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// documented finds what operators can meet in the sources of the product.
-var documented = map[string]struct {
+// documented holds patterns that find the operator-visible names in the sources, and the minimum number of names
+// that each pattern must find.
+var documentedNames = map[string]struct {
 	files   string
 	pattern *regexp.Regexp
-	least   int
+	minimum int
 }{
 	"refusal reason": {"../*/*.go", regexp.MustCompile(`\bReason\w+\s+(?:call\.)?Reason\s*=\s*"([^"]+)"`), 20},
 	"log event":      {"../*/*.go", regexp.MustCompile(`\blog\.(?:Info|Warn|Error)\("([^"]+)"`), 20},
@@ -25,12 +26,12 @@
 	"inventory key":  {"../inventory/*.go", regexp.MustCompile(`b\.(?:Bool|Int|Name|Names|Duration|Bytes|Percent|List)\(s, "([^"]+)"`), 12},
 }
 
-// Guards against a refusal, log event, metric, command, flag or key that operators meet and cannot look up.
+// Guards against a refusal reason, log event, metric, command, flag or key that docs/OPERATIONS.md does not list.
 func TestOperationsPageIsComplete(t *testing.T) {
 	text, err := os.ReadFile("../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	page := string(text)
-	for kind, d := range documented {
+	for kind, d := range documentedNames {
 		paths, err := filepath.Glob(d.files)
 		require.NoError(t, err)
 		found := map[string]bool{}
@@ -44,8 +45,8 @@
 				found[match[1]] = true
 			}
 		}
-		// A pattern that no longer fits the code would find nothing and pass.
-		require.GreaterOrEqual(t, len(found), d.least, kind)
+		// Without a minimum, a pattern that no longer matches the code would find nothing and the test would pass.
+		require.GreaterOrEqual(t, len(found), d.minimum, kind)
 		for name := range found {
 			if kind == "flag" {
 				name = "--" + name
--- a/command/plan.go
+++ b/command/plan.go
@@ -38,23 +38,23 @@
 }
 
 func plan(env *Env, from, store, dir, format string) error {
-	next, err := readConfig(dir)
+	updated, err := readConfig(dir)
 	if err != nil {
-		return reported(env, format, err)
+		return reportProblems(env, format, err)
 	}
 	if store != "" {
-		return planAgainstStore(env, store, next, format)
+		return planAgainstStore(env, store, updated, format)
 	}
 	var old *inventory.Config
 	if from != "" {
 		if old, err = readConfig(from); err != nil {
-			return reported(env, format, err)
+			return reportProblems(env, format, err)
 		}
 	}
-	return writePlan(env, inventory.Plan(old, next), format)
+	return writePlan(env, inventory.Plan(old, updated), format)
 }
 
-func planAgainstStore(env *Env, url string, next *inventory.Config, format string) error {
+func planAgainstStore(env *Env, url string, updated *inventory.Config, format string) error {
 	store, err := tablestore.NewClient(url, 0)
 	if err != nil {
 		return problem(err)
@@ -64,7 +64,7 @@
 	if err != nil {
 		return Exit{Code: CodeNotAccepted, Err: err}
 	}
-	changes := inventory.Plan(old, next)
+	changes := inventory.Plan(old, updated)
 	if format == formatJSON {
 		return writeJSON(env.Out, map[string]any{"base": version, "changes": changeRecords(changes)})
 	}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// changeRecord is a change as scripts read it.
+// changeRecord is the JSON form of a change.
 type changeRecord struct {
 	Change   string              `json:"change"`
 	Subject  inventory.Subject   `json:"subject"`
@@ -108,14 +108,14 @@
 		case inventory.Removed:
 			r.Change, r.Settings = "removed", c.Settings
 		case inventory.Changed:
-			r.Change, r.Key, r.Old, r.New = "changed", c.Key, present(c.Old), present(c.New)
+			r.Change, r.Key, r.Old, r.New = "changed", c.Key, nilIfZero(c.Old), nilIfZero(c.New)
 		}
 		records = append(records, r)
 	}
 	return records
 }
 
-func present(s inventory.Setting) *inventory.Setting {
+func nilIfZero(s inventory.Setting) *inventory.Setting {
 	if s == (inventory.Setting{}) {
 		return nil
 	}
--- a/command/report.go
+++ b/command/report.go
@@ -25,14 +25,14 @@
 
 Exit codes: 0 every node answered; 1 the key is broken or the page could not be written; 2 wrong usage; 3 a node or the
 store did not answer.`)
-	r := reachFlags(cmd)
+	nodes := addNodeFlags(cmd)
 	page := cmd.Flag("html", "Also write the report as one HTML page to this file.").String()
-	cmd.Action(func(*kingpin.ParseContext) error { return report(env, r, *page) })
+	cmd.Action(func(*kingpin.ParseContext) error { return report(env, nodes, *page) })
 }
 
-func report(env *Env, r *reach, page string) error {
+func report(env *Env, nodes *nodeFlags, page string) error {
 	ctx := context.Background()
-	fl, members, err := r.open(ctx)
+	fl, members, err := nodes.openFleet(ctx)
 	if err != nil {
 		return err
 	}
--- a/command/report_test.go
+++ b/command/report_test.go
@@ -20,7 +20,8 @@
 	"lovagelane/membership"
 )
 
-// Guards against a report that hides a node that does not answer, or that fails because of one.
+// Guards against a report that omits a node that does not answer, and against one that lacks the data of the other nodes
+// because of it.
 func TestReport(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keys")
 	require.NoError(t, keys.Issue(dir))
--- a/command/request.go
+++ b/command/request.go
@@ -10,18 +10,18 @@
 	"lovagelane/inventory"
 )
 
-// isRequest reports whether the words name a request by method and path rather than a setting.
+// isRequest reports whether the words identify a request by method and path instead of a setting.
 func isRequest(words []string) bool {
 	return len(words) == 3 && words[0] == "request" && strings.HasPrefix(words[2], "/")
 }
 
-// explainRequest shows the rule for a request and what follows from it, each with its line.
+// explainRequest prints the rule that matches a request and the resulting settings, each with its source line.
 func explainRequest(env *Env, cfg *inventory.Config, method, target, format string) error {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
 		return problem(fmt.Errorf("%s is not a path: write it as /nursery/orders", target))
 	}
-	// Nodes match rules by the decoded and resolved path too.
+	// Nodes also match rules against the decoded and cleaned path.
 	service, rest, _ := strings.Cut(strings.TrimPrefix(path.Clean(u.Path), "/"), "/")
 	if _, ok := cfg.Service(service); !ok {
 		return problem(fmt.Errorf("there is no service %q: begin the path with a service of the inventory, as in /nursery/orders", service))
@@ -37,17 +37,17 @@
 	return problem(w.Flush())
 }
 
-// requestSettings lists what the rules say about an operation. The source of the rule is default when none matches.
+// requestSettings returns the effective settings of an operation. The source of the rule is default if no rule matches.
 func requestSettings(cfg *inventory.Config, op inventory.Operation) []inventory.Setting {
-	stated := map[string]inventory.Setting{}
+	statedSettings := map[string]inventory.Setting{}
 	rule := inventory.Setting{Subject: inventory.Subject{Section: "service " + op.Service, Service: op.Service}, Key: "rule",
 		Value: "none", Line: op.Line, Source: inventory.SourceDefault}
 	for _, s := range cfg.Explain("request " + op.Name) {
-		stated[s.Key] = s
+		statedSettings[s.Key] = s
 		rule.Subject, rule.Value, rule.Source = s.Subject, op.Name, inventory.SourceStated
 	}
-	set := func(key, value string, line inventory.Line, source inventory.Source) inventory.Setting {
-		if s, ok := stated[key]; ok {
+	statedOr := func(key, value string, line inventory.Line, source inventory.Source) inventory.Setting {
+		if s, ok := statedSettings[key]; ok {
 			return s
 		}
 		return inventory.Setting{Subject: rule.Subject, Key: key, Value: value, Line: line, Source: source}
@@ -60,9 +60,9 @@
 	}
 	return []inventory.Setting{
 		rule,
-		set("class", op.Class, op.ClassLine, inventory.SourceDefault),
-		set("rank", fmt.Sprint(op.Rank), rankLine, inventory.SourceInherited),
-		set("non-idempotent", "no", op.Line, inventory.SourceDefault),
-		set("timeout", op.Timeout.String(), op.TimeoutLine, inventory.SourceInherited),
+		statedOr("class", op.Class, op.ClassLine, inventory.SourceDefault),
+		statedOr("rank", fmt.Sprint(op.Rank), rankLine, inventory.SourceInherited),
+		statedOr("non-idempotent", "no", op.Line, inventory.SourceDefault),
+		statedOr("timeout", op.Timeout.String(), op.TimeoutLine, inventory.SourceInherited),
 	}
 }
--- a/command/status.go
+++ b/command/status.go
@@ -17,40 +17,40 @@
 
 func init() { Commands.Register("status", addStatus) }
 
-// reach is how a command finds the nodes.
-type reach struct{ store, node, keys string }
+// nodeFlags holds the flags by which a command finds and reaches the nodes.
+type nodeFlags struct{ store, node, keys string }
 
-// reachFlags adds the flags by which a command finds the nodes.
-func reachFlags(cmd *kingpin.CmdClause) *reach {
-	r := &reach{}
+// addNodeFlags adds the flags of nodeFlags to a command.
+func addNodeFlags(cmd *kingpin.CmdClause) *nodeFlags {
+	r := &nodeFlags{}
 	cmd.Flag("store", "The base URL of the platform's store, which lists the nodes.").StringVar(&r.store)
 	cmd.Flag("node", "The calls address of a node, for when the store is down.").StringVar(&r.node)
 	cmd.Flag("keys", "The directory with the operator's key.").Required().ExistingDirVar(&r.keys)
 	return r
 }
 
-// check reports a command line that names no way to find the nodes, or two.
-func (r *reach) check() error {
+// validate reports an error unless exactly one of --store and --node is set.
+func (r *nodeFlags) validate() error {
 	if (r.store == "") == (r.node == "") {
 		return errors.New("state either --store, or --node when the store is down")
 	}
 	return nil
 }
 
-// open checks the flags and returns the fleet with its members.
-func (r *reach) open(ctx context.Context) (*fleet.Fleet, []membership.Member, error) {
-	if err := r.check(); err != nil {
+// openFleet validates the flags and returns the fleet with its members.
+func (r *nodeFlags) openFleet(ctx context.Context) (*fleet.Fleet, []membership.Member, error) {
+	if err := r.validate(); err != nil {
 		return nil, nil, err
 	}
-	fl, err := fleet.Open(r.keys)
+	f, err := fleet.Open(r.keys)
 	if err != nil {
 		return nil, nil, problem(err)
 	}
-	members, err := fl.Members(ctx, r.store, r.node)
+	members, err := f.Members(ctx, r.store, r.node)
 	if err != nil {
 		return nil, nil, Exit{Code: CodeNotAccepted, Err: err}
 	}
-	return fl, members, nil
+	return f, members, nil
 }
 
 func addStatus(app *kingpin.Application, env *Env) {
@@ -61,12 +61,12 @@
   lovagelane status --node=10.0.1.7:7002 --keys=keys --format=json
 
 Exit codes: 0 every node answered; 1 problems were found; 2 wrong usage; 3 a node or the store did not answer.`)
-	r := reachFlags(cmd)
+	nodes := addNodeFlags(cmd)
 	format := formatFlag(cmd)
-	cmd.Action(func(*kingpin.ParseContext) error { return status(env, r, *format) })
+	cmd.Action(func(*kingpin.ParseContext) error { return status(env, nodes, *format) })
 }
 
-// nodeRecord is a node as scripts read it.
+// nodeRecord is the JSON form of a node's status.
 type nodeRecord struct {
 	ID               string `json:"id"`
 	Service          string `json:"service"`
@@ -80,9 +80,9 @@
 	Problem          string `json:"problem,omitempty"`
 }
 
-func status(env *Env, r *reach, format string) error {
+func status(env *Env, nodes *nodeFlags, format string) error {
 	ctx := context.Background()
-	fl, members, err := r.open(ctx)
+	fl, members, err := nodes.openFleet(ctx)
 	if err != nil {
 		return err
 	}
@@ -116,10 +116,10 @@
 }
 
 func writeStatus(env *Env, records []nodeRecord, format string) error {
-	silent := 0
+	unanswered := 0
 	for _, r := range records {
 		if r.Problem == "does not answer" {
-			silent++
+			unanswered++
 		}
 	}
 	if format == formatJSON {
@@ -137,8 +137,8 @@
 			return problem(err)
 		}
 	}
-	if silent > 0 {
-		return Exit{Code: CodeNotAccepted, Err: fmt.Errorf("%d of %d nodes do not answer", silent, len(records))}
+	if unanswered > 0 {
+		return Exit{Code: CodeNotAccepted, Err: fmt.Errorf("%d of %d nodes do not answer", unanswered, len(records))}
 	}
 	return nil
 }
