--- a/cmd/lovagelane/doc.go
+++ b/cmd/lovagelane/doc.go
@@ -1,2 +1,2 @@
-// Command lovagelane is the node and the operator's commands.
+// Command lovagelane runs a node or one of the operators' commands.
 package main
--- a/cmd/lovagelane/main.go
+++ b/cmd/lovagelane/main.go
@@ -20,14 +20,15 @@
 	os.Exit(command.Run(os.Args[1:], &command.Env{Out: os.Stdout, Err: os.Stderr}))
 }
 
-// memoryLimit is the heap at which the garbage collector works harder. With all bounded tables full a node would
-// otherwise take about 200 MB of the 128 MB that it may have.
-const memoryLimit = 110 << 20
+// memoryLimitBytes is the soft memory limit of the Go runtime. Without it, a node whose bounded tables are all full uses
+// about 200 MB, but its budget is 128 MB.
+const memoryLimitBytes = 110 << 20
 
-// runNode runs a node until SIGTERM or SIGINT drains it; a second signal stops it at once and cuts off calls in flight.
+// runNode runs a node until SIGTERM or SIGINT and then drains it. A second signal stops the node immediately and aborts the
+// calls in flight.
 func runNode(s settings.Node) error {
 	if _, ok := os.LookupEnv("GOMEMLIMIT"); !ok {
-		debug.SetMemoryLimit(memoryLimit)
+		debug.SetMemoryLimit(memoryLimitBytes)
 	}
 	n, err := node.Start(context.Background(), node.Options{Settings: s, Log: event.New(os.Stderr, kernel.SystemClock{})})
 	if err != nil {
@@ -35,7 +36,7 @@
 	}
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	drain, cancel := context.WithCancel(context.Background())
+	drainCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group := kernel.NewGroup(context.Background())
 	group.Go("signals", func(ctx context.Context) error {
@@ -52,7 +53,7 @@
 			}
 			return nil
 		})
-		if err := n.Drain(drain); err != nil {
+		if err := n.Drain(drainCtx); err != nil {
 			_ = n.Stop()
 			return err
 		}
--- a/cmd/lovagelane/mesh.go
+++ b/cmd/lovagelane/mesh.go
@@ -14,13 +14,13 @@
 	"lovagelane/settings"
 )
 
-// memoryShare is the part of the memory that the settings state at which the garbage collector works harder.
-const memoryShare = 0.6
+// memoryLimitShare is the soft memory limit of the Go runtime as a share of the memory in the settings.
+const memoryLimitShare = 0.6
 
-// runMesh runs a mesh node until SIGTERM or SIGINT. SIGHUP has the settings read again.
+// runMesh runs a mesh node until SIGTERM or SIGINT. On SIGHUP it reads the settings again.
 func runMesh(path string, s settings.Mesh) error {
 	if _, ok := os.LookupEnv("GOMEMLIMIT"); !ok && s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryMB) * (1 << 20)))
 	}
 	group := kernel.NewGroup(context.Background())
 	buffer := event.NewBuffer(group, os.Stdout)
@@ -32,27 +32,27 @@
 	if err != nil {
 		return err
 	}
-	failed := make(chan error, 1)
+	stopped := make(chan error, 1)
 	group.Go("node", func(context.Context) error {
-		failed <- n.Wait()
+		stopped <- n.Wait()
 		return nil
 	})
 	for {
 		select {
-		case err := <-failed:
+		case err := <-stopped:
 			return err
 		case sig := <-signals:
 			if sig != syscall.SIGHUP {
 				return n.Stop()
 			}
-			reload(path, s, log)
+			rereadSettings(path, s, log)
 		}
 	}
 }
 
-// reload reads the settings again. What they state holds for a whole run of the process, so a change takes effect at the
-// next start; nothing is interrupted.
-func reload(path string, old settings.Mesh, log *event.Log) {
+// rereadSettings reads the settings again and logs whether they changed. Settings are fixed while the process runs, so a
+// change takes effect at the next start, and the running node is not interrupted.
+func rereadSettings(path string, old settings.Mesh, log *event.Log) {
 	s, err := settings.LoadMesh(path)
 	if err != nil {
 		log.Error("settings-not-read", "error", err)
