--- a/cmd/standin/doc.go
+++ b/cmd/standin/doc.go
@@ -1,2 +1,3 @@
-// Command standin runs the stand-ins that tests, demo and benchmarks use in place of outside systems.
+// Command standin runs stand-ins for the platform, backend servers and callers. Tests, the demo and the benchmarks use them
+// instead of the external systems.
 package main
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -17,7 +17,7 @@
 	"lovagelane/standin"
 )
 
-// drainTimeout bounds the wait for calls in flight after SIGTERM.
+// drainTimeout bounds the wait for calls in flight after SIGINT or SIGTERM.
 const drainTimeout = 10 * time.Second
 
 func main() {
@@ -79,7 +79,8 @@
 	}
 }
 
-// runBackendServer drains on SIGTERM: calls in flight end before the process does.
+// runBackendServer runs a backend server. On SIGINT or SIGTERM it drains: the calls in flight finish before the process
+// exits, or drainTimeout passes.
 func runBackendServer(ctx context.Context, opt standin.BackendOptions, listen string) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -95,7 +96,7 @@
 	}
 	drain := true
 	b.SetFaults(standin.BackendFaults{Drain: &drain})
-	for end := time.Now().Add(drainTimeout); b.InFlight() > 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(drainTimeout); b.InFlight() > 0 && time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return g.Stop()
