--- a/cmd/demo/check.go
+++ b/cmd/demo/check.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// importantShare is the share of payments and orders that must be answered in overload.
-	importantShare = 0.99
-	// shedShare is the share of map reloads and weather that must be shed for the run to count as an overload.
-	shedShare = 0.3
-	// movedGain is by how much the answered share of weather must grow when it moves to a more important class.
-	movedGain = 0.2
+	// minImportantShare is the minimum share of payments and orders that must be answered during overload.
+	minImportantShare = 0.99
+	// minShedShare is the share of map reloads and weather that must be shed for the load to count as overload.
+	minShedShare = 0.3
+	// minWeatherGain is the minimum increase in the answered share of weather after its move to a more important class.
+	minWeatherGain = 0.2
 )
 
-// check is one thing that must hold.
+// check is the result of one check.
 type check struct {
 	ok             bool
 	what, measured string
@@ -30,7 +30,7 @@
 	d.checks = append(d.checks, check{ok, what, measured})
 }
 
-func (d *demo) failed() bool {
+func (d *demo) hasFailedCheck() bool {
 	for _, c := range d.checks {
 		if !c.ok {
 			return true
@@ -73,22 +73,23 @@
 
 func share(results *standin.Results, kind string) float64 { return results.Kind(kind).Share() }
 
-// checkUsual checks that orders were answered and that each ran in three services.
-func (d *demo) checkUsual(usual *standin.Results, ran map[string][]standin.Ran) {
+// checkUsualLoad checks that orders were answered and that each one ran in three services.
+func (d *demo) checkUsualLoad(usual *standin.Results, ran map[string][]standin.Ran) {
 	orders := usual.Kind(kindOrders).Answered
-	d.check(orders > 0 && share(usual, kindOrders) >= importantShare, "orders are answered under the usual load",
+	d.check(orders > 0 && share(usual, kindOrders) >= minImportantShare, "orders are answered under the usual load",
 		percent(share(usual, kindOrders)))
 	chain := 0
 	for service, path := range map[string]string{"nursery": "/orders", "imagery": "/proofs", "payments": "/holds"} {
-		if starts(ran[service], path, "order-usual-") >= orders {
+		if countOrders(ran[service], path, "order-usual-") >= orders {
 			chain++
 		}
 	}
 	d.check(chain == 3, "each answered order passed through three services", fmt.Sprintf("%d orders, %d services", orders, chain))
 }
 
-// starts counts the orders with a prefix that ran on a path.
-func starts(all []standin.Ran, path, prefix string) int {
+// countOrders returns the number of orders on a path whose keys have a prefix. It counts an order once for each backend
+// server that ran it.
+func countOrders(all []standin.Ran, path, prefix string) int {
 	n := 0
 	for _, r := range all {
 		for key := range r.Orders {
@@ -107,26 +108,26 @@
 	}{{"before the change", before}, {"after the change", after}} {
 		for _, name := range []string{kindPayments, kindOrders} {
 			s := share(phase.results, name)
-			d.check(s >= importantShare, name+" are answered in overload "+phase.name, percent(s))
+			d.check(s >= minImportantShare, name+" are answered in overload "+phase.name, percent(s))
 		}
 	}
 	maps, weather, uploads := share(before, kindMaps), share(before, kindWeather), share(before, kindUploads)
-	lower := before.Kind(kindMaps)
-	background := before.Kind(kindWeather)
-	shed := float64(lower.Shed+background.Shed) / float64(lower.Sent+background.Sent)
-	d.check(shed >= shedShare, "lower classes are shed in overload", percent(shed)+" of map reloads and weather")
+	mapsResults := before.Kind(kindMaps)
+	weatherResults := before.Kind(kindWeather)
+	shed := float64(mapsResults.Shed+weatherResults.Shed) / float64(mapsResults.Sent+weatherResults.Sent)
+	d.check(shed >= minShedShare, "lower classes are shed in overload", percent(shed)+" of map reloads and weather")
 	d.check(weather <= maps, "weather (rank 10) is shed before map reloads (rank 8)",
 		fmt.Sprintf("answered %s and %s", percent(weather), percent(maps)))
 	d.check(maps <= uploads, "map reloads (rank 8) are shed before uploads (rank 4)",
 		fmt.Sprintf("answered %s and %s", percent(maps), percent(uploads)))
-	moved := share(after, kindWeather)
-	d.check(moved >= weather+movedGain, "the changed class takes effect",
-		fmt.Sprintf("weather answered %s, then %s", percent(weather), percent(moved)))
+	movedShare := share(after, kindWeather)
+	d.check(movedShare >= weather+minWeatherGain, "the changed class takes effect",
+		fmt.Sprintf("weather answered %s, then %s", percent(weather), percent(movedShare)))
 }
 
-// checkOnce checks that no order started twice in any service, over all its backend servers.
-func (d *demo) checkOnce(ran map[string][]standin.Ran) {
-	orders, twice := 0, 0
+// checkNoOrderRanTwice checks that no order started more than once in a service, over all its backend servers.
+func (d *demo) checkNoOrderRanTwice(ran map[string][]standin.Ran) {
+	orders, duplicates := 0, 0
 	for _, all := range ran {
 		counts := map[string]int{}
 		for _, r := range all {
@@ -137,39 +138,39 @@
 		for _, n := range counts {
 			orders++
 			if n > 1 {
-				twice++
+				duplicates++
 			}
 		}
 	}
-	d.check(orders > 0 && twice == 0, "no order ran twice", fmt.Sprintf("%d of %d starts", twice, orders))
+	d.check(orders > 0 && duplicates == 0, "no order ran twice", fmt.Sprintf("%d of %d starts", duplicates, orders))
 }
 
-// checkNotRun checks that no request ran, in any service, of which every send was refused as "not run".
-func (d *demo) checkNotRun(ran map[string][]standin.Ran, results ...*standin.Results) {
-	started := map[string][]string{}
+// checkRefusedNotRun checks that a request whose sends were all refused as "not run" did not run in any service.
+func (d *demo) checkRefusedNotRun(ran map[string][]standin.Ran, results ...*standin.Results) {
+	pathsByRequest := map[string][]string{}
 	for _, all := range ran {
 		for _, r := range all {
 			for key := range r.Requests {
 				path, id, _ := strings.Cut(key, " ")
-				started[id] = append(started[id], path)
+				pathsByRequest[id] = append(pathsByRequest[id], path)
 			}
 		}
 	}
 	refused := 0
-	var wrong []string
+	var violations []string
 	for _, r := range results {
 		for _, res := range r.NotRun() {
 			refused++
-			if paths := started[res.Request]; len(paths) > 0 {
-				wrong = append(wrong, fmt.Sprintf("%s %s refused as %s ran as %v", res.Kind, res.Request, res.Reason, paths))
+			if paths := pathsByRequest[res.Request]; len(paths) > 0 {
+				violations = append(violations, fmt.Sprintf("%s %s refused as %s ran as %v", res.Kind, res.Request, res.Reason, paths))
 			}
 		}
 	}
-	d.check(len(wrong) == 0, `nothing refused as "not run" ran`,
-		fmt.Sprintf("%d of %d refused %s", len(wrong), refused, strings.Join(wrong, "; ")))
+	d.check(len(violations) == 0, `nothing refused as "not run" ran`,
+		fmt.Sprintf("%d of %d refused %s", len(violations), refused, strings.Join(violations, "; ")))
 }
 
-func (d *demo) checkEnded(e testbed.Ended) {
+func (d *demo) checkProcessesStopped(e testbed.Ended) {
 	d.check(len(e.Running)+len(e.Killed)+len(e.Failed) == 0, "every process stopped by itself",
 		fmt.Sprintf("%d processes; killed %v, failed %v, running %v", e.Processes, e.Killed, e.Failed, e.Running))
 }
--- a/cmd/demo/deployment.go
+++ b/cmd/demo/deployment.go
@@ -10,8 +10,8 @@
 
 const serviceTime = "--service-time=20ms"
 
-// services is the demo's deployment: the services of Restinga Viva Plantios with few slots, so that one computer can
-// overload it. An order for seedlings passes through three services: nursery, imagery (proof of the plot) and payments
+// services returns the demo's deployment: the services of Restinga Viva Plantios with few slots, so that one computer can
+// overload them. An order for seedlings passes through three services: nursery, imagery (proof of the plot) and payments
 // (hold on the account).
 func services() []testbed.Service {
 	return []testbed.Service{
@@ -98,7 +98,7 @@
 class = background
 `
 
-// rulesWithWeatherMoved puts the weather into the class of look-ups, which is shed later than map reloads.
+// rulesWithWeatherMoved returns the rules with weather requests in class lookups, which is shed later than map reloads.
 func rulesWithWeatherMoved() string {
 	return strings.Replace(rules, "path = /weather\nclass = background", "path = /weather\nclass = lookups", 1)
 }
@@ -112,13 +112,13 @@
 	kindWeather  = "weather"
 )
 
-// kind is a kind of request with its class and its rates.
+// kind describes one kind of request with its class and rates.
 type kind struct {
 	name, class, method, path string
 	nonIdempotent             bool
-	// usual and overload are requests a second. In overload, maps and imagery are asked for three times what they can
-	// do, while payments and orders alone fit the capacity.
-	usual, overload float64
+	// usualRate and overloadRate are in requests a second. During overload, maps and imagery receive three times their
+	// capacity, while payments and orders alone fit the capacity.
+	usualRate, overloadRate float64
 }
 
 var kinds = []kind{
@@ -130,8 +130,8 @@
 	{kindWeather, "background", "GET", "/maps/weather", false, 40, 300},
 }
 
-// mix returns the kinds for the caller stand-in with their total rate.
-func mix(rate func(kind) float64) ([]standin.Kind, float64) {
+// loadMix returns the kinds in the form that the caller stand-in takes, weighted by rate, and their total rate.
+func loadMix(rate func(kind) float64) ([]standin.Kind, float64) {
 	var all []standin.Kind
 	total := 0.0
 	for _, k := range kinds {
--- a/cmd/demo/doc.go
+++ b/cmd/demo/doc.go
@@ -1,2 +1,2 @@
-// Command demo runs a small deployment on loopback, overloads it, changes its configuration and checks what must hold.
+// Command demo runs a small deployment on loopback, overloads it, changes its configuration and checks the results.
 package main
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// run stops every process also when a step failed or Ctrl-C ended it.
+// run runs the demo. It stops every process, also if a step fails or Ctrl-C interrupts it.
 func run(ctx context.Context, seed uint64, settings []string, keep bool) error {
 	bin, err := os.Executable()
 	if err != nil {
@@ -37,15 +37,15 @@
 	}
 	d := &demo{seed: seed, started: time.Now()}
 	if err = d.start(ctx, testbed.Options{Bin: filepath.Dir(bin), NodeSettings: settings}); err == nil {
-		err = d.play(ctx)
+		err = d.runPhases(ctx)
 	}
 	if d.bed == nil {
 		return err
 	}
 	ended := d.bed.Stop()
-	d.checkEnded(ended)
+	d.checkProcessesStopped(ended)
 	d.printChecks()
-	if err == nil && d.failed() {
+	if err == nil && d.hasFailedCheck() {
 		err = errors.New("a check failed")
 	}
 	if err != nil || keep {
--- a/cmd/demo/play.go
+++ b/cmd/demo/play.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	readyTimeout = 20 * time.Second
-	usualTime    = 4 * time.Second
-	overloadTime = 22 * time.Second
-	// settled is the part of the overload that is left out, since limits and levels are learned first.
-	settled = 2 * time.Second
-	// changeAt is when the configuration is changed during the overload.
-	changeAt = 10 * time.Second
-	// inForce is how long a change may take until it is in force everywhere.
-	inForce = 14 * time.Second
-	// changed is when the change must show in the answers; the time between is left out.
-	changed = 15 * time.Second
+	readyTimeout      = 20 * time.Second
+	usualLoadDuration = 4 * time.Second
+	overloadDuration  = 22 * time.Second
+	// overloadWarmUp is excluded from the results, because limits and admission levels adapt first.
+	overloadWarmUp = 2 * time.Second
+	// configChangeAt is the time into the overload at which the configuration changes.
+	configChangeAt = 10 * time.Second
+	// configChangeTimeout bounds the time until a change is in force on all nodes.
+	configChangeTimeout = 14 * time.Second
+	// afterChangeFrom is the time into the overload from which the answers must show the change. Requests that arrive
+	// between configChangeAt and afterChangeFrom are excluded.
+	afterChangeFrom = 15 * time.Second
 )
 
-// demo is one run.
+// demo holds the state of one run.
 type demo struct {
 	seed    uint64
 	started time.Time
@@ -32,7 +33,7 @@
 	checks  []check
 }
 
-func (d *demo) say(format string, args ...any) {
+func (d *demo) logf(format string, args ...any) {
 	fmt.Printf("%5.1fs  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
@@ -45,74 +46,74 @@
 	if err := bed.Add(services()...); err != nil {
 		return err
 	}
-	d.say("started the platform, %d backend servers and %d nodes; seed %d", len(bed.Places), len(bed.Places), d.seed)
-	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	d.logf("started the platform, %d backend servers and %d nodes; seed %d", len(bed.Places), len(bed.Places), d.seed)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := bed.Up(ready); err != nil {
+	if err := bed.Up(readyCtx); err != nil {
 		return err
 	}
-	if _, err := bed.Apply(ready, testbed.Inventory(services()), rules); err != nil {
+	if _, err := bed.Apply(readyCtx, testbed.Inventory(services()), rules); err != nil {
 		return err
 	}
-	if err := bed.Ready(ready, 1); err != nil {
+	if err := bed.Ready(readyCtx, 1); err != nil {
 		return err
 	}
-	d.say("configuration 1 is in force on every node")
+	d.logf("configuration 1 is in force on every node")
 	return nil
 }
 
-// play offers the usual load, then overload with a change of the configuration, and checks the results.
-func (d *demo) play(ctx context.Context) error {
-	usual, err := d.usual(ctx)
+// runPhases offers the usual load, then an overload during which the configuration changes, and checks the results.
+func (d *demo) runPhases(ctx context.Context) error {
+	usual, err := d.offerUsualLoad(ctx)
 	if err != nil {
 		return err
 	}
-	before, after, all, err := d.overload(ctx)
+	before, after, all, err := d.offerOverload(ctx)
 	if err != nil {
 		return err
 	}
 	d.printTable("usual load", usual)
 	d.printTable("overload, weather in class background", before)
 	d.printTable("overload, weather in class lookups", after)
-	ran, err := d.ran(ctx)
+	ran, err := d.collectRuns(ctx)
 	if err != nil {
 		return err
 	}
-	d.checkUsual(usual, ran)
+	d.checkUsualLoad(usual, ran)
 	d.checkOverload(before, after)
-	d.checkOnce(ran)
-	d.checkNotRun(ran, usual, all)
+	d.checkNoOrderRanTwice(ran)
+	d.checkRefusedNotRun(ran, usual, all)
 	return nil
 }
 
-func (d *demo) usual(ctx context.Context) (*standin.Results, error) {
-	mix, rate := mix(func(k kind) float64 { return k.usual })
-	c := &standin.Caller{Addresses: d.bed.Callers(), Kinds: mix, Profile: standin.Constant(rate), Duration: usualTime,
+func (d *demo) offerUsualLoad(ctx context.Context) (*standin.Results, error) {
+	mix, rate := loadMix(func(k kind) float64 { return k.usualRate })
+	c := &standin.Caller{Addresses: d.bed.Callers(), Kinds: mix, Profile: standin.Constant(rate), Duration: usualLoadDuration,
 		Seed: d.seed, Name: "usual"}
-	d.say("offering the usual load, %.0f requests a second", rate)
+	d.logf("offering the usual load, %.0f requests a second", rate)
 	return c.Run(ctx)
 }
 
-// overload returns the results before and after the change, and all results.
-func (d *demo) overload(ctx context.Context) (before, after, all *standin.Results, err error) {
-	mix, rate := mix(func(k kind) float64 { return k.overload })
+// offerOverload returns the results before and after the configuration change, and all results.
+func (d *demo) offerOverload(ctx context.Context) (before, after, all *standin.Results, err error) {
+	mix, rate := loadMix(func(k kind) float64 { return k.overloadRate })
 	var names []string
 	for _, k := range mix {
 		names = append(names, k.Name)
 	}
 	before, after = standin.NewResults(names), standin.NewResults(names)
-	c := &standin.Caller{Addresses: d.bed.Callers(), Kinds: mix, Profile: standin.Constant(rate), Duration: overloadTime,
+	c := &standin.Caller{Addresses: d.bed.Callers(), Kinds: mix, Profile: standin.Constant(rate), Duration: overloadDuration,
 		Seed: d.seed + 1, Name: "overload", Observe: func(r standin.Result) {
 			switch {
-			case r.Arrived >= settled && r.Arrived < changeAt:
+			case r.Arrived >= overloadWarmUp && r.Arrived < configChangeAt:
 				before.Add(r)
-			case r.Arrived >= changed:
+			case r.Arrived >= afterChangeFrom:
 				after.Add(r)
 			}
 		}}
-	d.say("overloading: %.0f requests a second", rate)
+	d.logf("overloading: %.0f requests a second", rate)
 	g := kernel.NewGroup(ctx)
-	g.Go("change", d.change)
+	g.Go("change", d.changeConfig)
 	all, err = c.Run(ctx)
 	if changeErr := g.Wait(); err == nil {
 		err = changeErr
@@ -120,22 +121,22 @@
 	return before, after, all, err
 }
 
-// change moves the weather to another class while the load runs and measures how long it takes.
-func (d *demo) change(ctx context.Context) error {
+// changeConfig moves weather requests to another class under load and measures the time until the change is in force.
+func (d *demo) changeConfig(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(changeAt):
+	case <-time.After(configChangeAt):
 	}
 	start := time.Now()
-	limit, cancel := context.WithTimeout(ctx, inForce)
+	timeoutCtx, cancel := context.WithTimeout(ctx, configChangeTimeout)
 	defer cancel()
-	if _, err := d.bed.Apply(limit, testbed.Inventory(services()), rulesWithWeatherMoved()); err != nil {
+	if _, err := d.bed.Apply(timeoutCtx, testbed.Inventory(services()), rulesWithWeatherMoved()); err != nil {
 		return err
 	}
-	err := d.bed.Ready(limit, 2)
+	err := d.bed.Ready(timeoutCtx, 2)
 	took := time.Since(start)
-	d.say("configuration 2 is in force on every node after %s: weather moved to class lookups", took.Round(time.Millisecond))
+	d.logf("configuration 2 is in force on every node after %s: weather moved to class lookups", took.Round(time.Millisecond))
 	d.check(err == nil, "a change is in force everywhere within 14 s", fmt.Sprintf("%s %v", took.Round(time.Millisecond), errText(err)))
 	return nil
 }
@@ -147,8 +148,8 @@
 	return err.Error()
 }
 
-// ran collects what the backend servers ran, by service.
-func (d *demo) ran(ctx context.Context) (map[string][]standin.Ran, error) {
+// collectRuns returns by service what the backend servers ran.
+func (d *demo) collectRuns(ctx context.Context) (map[string][]standin.Ran, error) {
 	all := map[string][]standin.Ran{}
 	for _, p := range d.bed.Places {
 		r, err := p.Ran(ctx)
