--- a/cmd/bench/bench.go
+++ b/cmd/bench/bench.go
@@ -13,19 +13,19 @@
 
 const (
 	readyTimeout = 15 * time.Second
-	startTries   = 4
+	maxStarts    = 4
 )
 
-// bench is one run.
+// bench holds the options of one run and the result rows of the current part.
 type bench struct {
 	bin  string
 	seed uint64
-	// sizes are the numbers of nodes that control is measured with.
-	sizes []int
-	rows  []row
+	// nodeCounts are the deployment sizes of the parts control and events.
+	nodeCounts []int
+	rows       []row
 }
 
-// variant is the product or a baseline: settings of the nodes.
+// variant holds the node settings of the product or of a baseline.
 type variant struct {
 	name     string
 	settings []string
@@ -38,7 +38,7 @@
 	roundRobin = variant{"round robin", []string{"policy = round-robin"}}
 )
 
-// row is one line of the results.
+// row is one row of the results table.
 type row struct {
 	measure, baseline       string
 	baseValue, value, ratio string
@@ -46,8 +46,9 @@
 	met                     string
 }
 
-// add adds a row whose values are written with a format such as "%.1f ms"; a negative base means that there is none.
-func (b *bench) add(measure, format string, value float64, baseline string, base float64, target string, met bool) {
+// addRow adds a row whose values are formatted with a format such as "%.1f ms". A negative base means that there is no
+// baseline value.
+func (b *bench) addRow(measure, format string, value float64, baseline string, base float64, target string, met bool) {
 	r := row{measure: measure, baseline: baseline, value: fmt.Sprintf(format, value), baseValue: "-", ratio: "-",
 		target: target, met: "not met"}
 	if met {
@@ -78,17 +79,17 @@
 	fmt.Fprintln(w)
 }
 
-// notReadyError says that a deployment did not get ready, so that nothing was measured on it.
+// notReadyError means that a deployment did not become ready, so nothing was measured on it.
 type notReadyError struct{ error }
 
-// deploy runs f on a fresh deployment and stops it. A deployment that does not get ready is reported and started again,
-// since its start is not what the benchmarks measure.
+// deploy runs f on a new deployment and then stops the deployment. If a deployment does not become ready, deploy reports
+// it and starts a new one, since the benchmarks do not measure the start.
 func (b *bench) deploy(ctx context.Context, v variant, services []testbed.Service, rules string,
 	f func(ctx context.Context, bed *testbed.Bed) error) error {
 	for try := 1; ; try++ {
 		err := b.deployOnce(ctx, v, services, rules, f)
 		var notReady notReadyError
-		if try == startTries || ctx.Err() != nil || !errors.As(err, &notReady) {
+		if try == maxStarts || ctx.Err() != nil || !errors.As(err, &notReady) {
 			return err
 		}
 		fmt.Printf("- %s: start %d did not get ready: %v\n\n", v.name, try, err)
@@ -116,21 +117,21 @@
 	if err := bed.Add(services...); err != nil {
 		return err
 	}
-	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := bed.Up(ready); err != nil {
+	if err := bed.Up(readyCtx); err != nil {
 		return notReadyError{err}
 	}
-	if _, err := bed.Apply(ready, testbed.Inventory(services), rules); err != nil {
+	if _, err := bed.Apply(readyCtx, testbed.Inventory(services), rules); err != nil {
 		return notReadyError{err}
 	}
-	if err := bed.Ready(ready, 1); err != nil {
+	if err := bed.Ready(readyCtx, 1); err != nil {
 		return notReadyError{err}
 	}
 	return f(ctx, bed)
 }
 
-// load offers a load to the nodes of a service and returns all results and those of requests that arrived in the window.
+// load sends requests to the addresses. It returns all results, and those of the requests that arrived in the window.
 func (b *bench) load(ctx context.Context, addresses []string, kinds []standin.Kind, p standin.Profile, window span) (all,
 	windowed *standin.Results, err error) {
 	var names []string
@@ -148,12 +149,12 @@
 	return all, windowed, err
 }
 
-// span is a time span after the start of a load; the load ends at its end.
+// span is an interval relative to the start of a load. The load ends with it.
 type span struct{ from, to time.Duration }
 
 func (s span) seconds() float64 { return (s.to - s.from).Seconds() }
 
-func answeredOf(r *standin.Results) int {
+func totalAnswered(r *standin.Results) int {
 	n := 0
 	for _, k := range r.Kinds() {
 		n += k.Answered
@@ -161,7 +162,7 @@
 	return n
 }
 
-func addressesOf(places []*testbed.Place) []string {
+func callerAddresses(places []*testbed.Place) []string {
 	var all []string
 	for _, p := range places {
 		all = append(all, p.Callers)
@@ -171,8 +172,8 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// note prints what explains a row: where the requests that were not answered went.
-func note(name string, r *standin.Results) {
+// printResults prints the counts by outcome and the latencies behind a row.
+func printResults(name string, r *standin.Results) {
 	for _, k := range r.Kinds() {
 		fmt.Printf("- %s, %s: sent %d, answered %d, shed %d, refused %d, failed %d, unknown %d, late %d, p50 %.1f ms, p99 %.1f ms %v\n",
 			name, k.Kind, k.Sent, k.Answered, k.Shed, k.Refused, k.Failed, k.Unknown, k.Late, ms(k.Quantile(50)),
--- a/cmd/bench/calls.go
+++ b/cmd/bench/calls.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	callsSettle = 3 * time.Second
+	callsWarmUp = 3 * time.Second
 	callsWindow = 10 * time.Second
-	// targetCalls is what a node serves at the target size, in calls a second; it makes as many.
-	targetCalls = 100
+	// targetCallRate is the number of calls a second that a node serves at the target size. It makes as many itself.
+	targetCallRate = 100
 )
 
-// runCalls offers steady rates to a node of another service and fits the processor time of the calling and of the serving
-// node over the rate. The calling node also takes the request of the outside caller, which a node between two services
-// takes from its backend server.
+// runCalls offers constant rates to a node of another service and fits a line through the processor times of the calling
+// and of the serving node. The calling node also accepts the request of the external caller; a node between two services
+// accepts that request from its backend server.
 func runCalls(ctx context.Context, b *bench) error {
 	services := []testbed.Service{
 		{Name: "front", Zones: []string{"rn-1"}, Slots: 64, Connections: 400, Timeout: time.Second},
@@ -34,7 +34,7 @@
 		fmt.Println("|---|---|---|---|---|")
 		for _, rate := range rates {
 			var cpu, memory [2]float64
-			if err := b.callsAt(ctx, places, rate, &cpu, &memory); err != nil {
+			if err := b.measureCalls(ctx, places, rate, &cpu, &memory); err != nil {
 				return err
 			}
 			fmt.Printf("| %.0f | %.2f | %.1f | %.2f | %.1f |\n", rate, cpu[0], memory[0], cpu[1], memory[1])
@@ -45,36 +45,36 @@
 		fmt.Println()
 		calling, idle := leastSquares(rates, used[0])
 		serving, _ := leastSquares(rates, used[1])
-		b.add("processor time of a call, calling node", "%.3f ms", calling, "-", -1, "", true)
-		b.add("processor time of a call, serving node", "%.3f ms", serving, "-", -1, "", true)
-		b.add("processor of a node at the target rate, both roles", "%.1f%% of a core", (calling+serving)*targetCalls/10, "-", -1,
+		b.addRow("processor time of a call, calling node", "%.3f ms", calling, "-", -1, "", true)
+		b.addRow("processor time of a call, serving node", "%.3f ms", serving, "-", -1, "", true)
+		b.addRow("processor of a node at the target rate, both roles", "%.1f%% of a core", (calling+serving)*targetCallRate/10, "-", -1,
 			"", true)
-		b.add("processor of the calling node without calls", "%.2f%% of a core", idle/10, "-", -1, "", true)
+		b.addRow("processor of the calling node without calls", "%.2f%% of a core", idle/10, "-", -1, "", true)
 		return nil
 	})
 }
 
-// callsAt offers a rate and returns the processor time that each node used a second, in milliseconds, and its memory.
-func (b *bench) callsAt(ctx context.Context, places []*testbed.Place, rate float64, cpu, memory *[2]float64) error {
+// measureCalls offers a rate. It stores each node's processor time in ms per second in cpu, and its memory in MB in memory.
+func (b *bench) measureCalls(ctx context.Context, places []*testbed.Place, rate float64, cpu, memory *[2]float64) error {
 	load := make(chan error, 1)
 	if rate == 0 {
 		load <- nil
 	} else {
-		bedLoad := func(ctx context.Context) error {
+		offerLoad := func(ctx context.Context) error {
 			kinds := []standin.Kind{{Name: "call", Method: "GET", Path: "/echo/page", Weight: 1}}
-			// Request ids come from the seed, and a request id that was seen lately counts as a resend.
-			one := &bench{seed: b.seed + uint64(rate)}
-			_, r, err := one.load(ctx, addressesOf(places[:1]), kinds, standin.Constant(rate),
-				span{0, callsSettle + callsWindow + callsSettle/2})
+			// Request ids derive from the seed, and nodes treat a recently seen request id as a resend.
+			rateBench := &bench{seed: b.seed + uint64(rate)}
+			_, r, err := rateBench.load(ctx, callerAddresses(places[:1]), kinds, standin.Constant(rate),
+				span{0, callsWarmUp + callsWindow + callsWarmUp/2})
 			if err == nil && r.Kind("call").Share() < 1 {
-				note(fmt.Sprintf("%.0f a second", rate), r)
+				printResults(fmt.Sprintf("%.0f a second", rate), r)
 			}
 			return err
 		}
 		g := kernel.NewGroup(ctx)
-		g.Go("load", func(ctx context.Context) error { load <- bedLoad(ctx); return nil })
+		g.Go("load", func(ctx context.Context) error { load <- offerLoad(ctx); return nil })
 	}
-	if err := pause(ctx, callsSettle); err != nil {
+	if err := pause(ctx, callsWarmUp); err != nil {
 		return err
 	}
 	var before [2]time.Duration
--- a/cmd/bench/control.go
+++ b/cmd/bench/control.go
@@ -16,27 +16,29 @@
 )
 
 const (
-	targetNodes     = 590
-	controlCPU      = 1.6
-	controlMemoryMB = 128
-	controlTraffic  = 28.0
-
-	// controlSettle lets the connections of the joining nodes end and the memory of the start be given back.
-	controlSettle = 8 * time.Second
-	// idleWindow holds at least one renewal of each node's row in the store.
+	targetNodes       = 590
+	cpuTargetPercent  = 1.6
+	memoryTargetMB    = 128
+	trafficTargetKBps = 28.0
+
+	// controlWarmUp lets the connections opened for joining close and the runtime return the memory used at the start.
+	controlWarmUp = 8 * time.Second
+	// idleWindow is long enough for at least one renewal of each node's row in the store.
 	idleWindow  = 30 * time.Second
 	eventWindow = 10 * time.Second
-	// suspicionPause is long enough for a suspicion, after 3 s of silence and a dial of 2 s, and too short for a removal.
-	suspicionPause = 7 * time.Second
-	controlReady   = 90 * time.Second
-	// zoneSize is the size from which the loss of an availability zone is measured, since smaller zones say little.
-	zoneSize = 40
+	// freezeDuration is long enough for a suspicion, which takes 3 s without a message and a dial of 2 s, and too short for
+	// a removal.
+	freezeDuration      = 7 * time.Second
+	controlReadyTimeout = 90 * time.Second
+	// minZoneLossNodes is the smallest deployment whose loss of an availability zone is measured. Zones of smaller
+	// deployments have too few nodes for a useful result.
+	minZoneLossNodes = 40
 )
 
 var controlZones = []string{"rn-1", "rn-2", "rn-3", "ce-1", "ce-2"}
 
-// controlRow is what one event or the idle state costs at one size. All values are for each node; those of events come on
-// top of the idle state.
+// controlRow holds the cost of one event, or of the idle state, at one deployment size. All values are per node. The values
+// of events exclude the idle cost.
 type controlRow struct {
 	event                                      string
 	nodes                                      int
@@ -44,42 +46,42 @@
 	memoryMB                                   float64
 }
 
-// controlRun measures one deployment.
+// controlRun holds the state and results of the measurement of one deployment.
 type controlRun struct {
-	bed     *testbed.Bed
-	nodes   []*testbed.Place
-	extra   *testbed.Place
-	text    func(version int) (inventory, rules string)
-	idle    usage
-	version int
-	rows    []controlRow
+	bed        *testbed.Bed
+	nodes      []*testbed.Place
+	extra      *testbed.Place
+	configText func(version int) (inventory, rules string)
+	idle       usage
+	version    int
+	rows       []controlRow
 }
 
-// runControl measures the idle cost of a node at each size and fits a line through the sizes. docs/CAPACITY.md derives the
-// target size from it.
+// runControl measures the idle cost of a node at each deployment size and fits a line through the results.
+// docs/CAPACITY.md derives the target size from it.
 func runControl(ctx context.Context, b *bench) error {
-	rows, err := b.controlSizes(ctx, false)
+	rows, err := b.measureControlSizes(ctx, false)
 	for _, r := range rows {
 		cpu := 100 * r.cpuMS / 1000
 		traffic := (r.sent + r.received) / 1000
 		at := fmt.Sprintf(" of a node among %d, idle", r.nodes)
-		b.add("processor"+at, "%.2f%% of a core", cpu, "-", -1, "at most 1.6%", cpu <= controlCPU)
-		b.add("memory"+at, "%.1f MB", r.memoryMB, "-", -1, "at most 128 MB", r.memoryMB <= controlMemoryMB)
-		b.add("control traffic"+at, "%.2f KB/s", traffic, "-", -1, "at most 28 KB/s", traffic <= controlTraffic)
+		b.addRow("processor"+at, "%.2f%% of a core", cpu, "-", -1, "at most 1.6%", cpu <= cpuTargetPercent)
+		b.addRow("memory"+at, "%.1f MB", r.memoryMB, "-", -1, "at most 128 MB", r.memoryMB <= memoryTargetMB)
+		b.addRow("control traffic"+at, "%.2f KB/s", traffic, "-", -1, "at most 28 KB/s", traffic <= trafficTargetKBps)
 	}
 	return err
 }
 
-// runEvents measures what single events cost a node beyond the idle state.
+// runEvents measures the cost of single events for a node, excluding the idle cost.
 func runEvents(ctx context.Context, b *bench) error {
-	_, err := b.controlSizes(ctx, true)
+	_, err := b.measureControlSizes(ctx, true)
 	return err
 }
 
-func (b *bench) controlSizes(ctx context.Context, events bool) (rows []controlRow, err error) {
-	for _, size := range b.sizes {
+func (b *bench) measureControlSizes(ctx context.Context, events bool) (rows []controlRow, err error) {
+	for _, size := range b.nodeCounts {
 		var r []controlRow
-		r, err = b.controlAt(ctx, size, events)
+		r, err = b.measureControl(ctx, size, events)
 		rows = append(rows, r...)
 		if err != nil {
 			err = fmt.Errorf("%d nodes: %w", size, err)
@@ -90,7 +92,8 @@
 	return rows, err
 }
 
-// controlServices are four services over the five availability zones, each with one backend server for all its nodes.
+// controlServices returns four services across the five availability zones. Each service has one backend server that all
+// its nodes share.
 func controlServices(size int) []testbed.Service {
 	var services []testbed.Service
 	for _, name := range []string{"maps", "nursery", "imagery", "payments"} {
@@ -103,7 +106,7 @@
 	return slices.DeleteFunc(services, func(s testbed.Service) bool { return len(s.Zones) == 0 })
 }
 
-func (b *bench) controlAt(ctx context.Context, size int, events bool) (rows []controlRow, err error) {
+func (b *bench) measureControl(ctx context.Context, size int, events bool) (rows []controlRow, err error) {
 	bed, err := testbed.New(ctx, testbed.Options{Bin: b.bin, SharedBackends: true})
 	if err != nil {
 		return nil, err
@@ -119,7 +122,7 @@
 	services := controlServices(size)
 	extra := testbed.Service{Name: "extra", Zones: controlZones[:1], Slots: 16, Connections: 2000, Timeout: time.Second}
 	inventory := testbed.Inventory(append(slices.Clone(services), extra))
-	r := &controlRun{bed: bed, text: func(version int) (string, string) {
+	r := &controlRun{bed: bed, configText: func(version int) (string, string) {
 		return inventory, fmt.Sprintf("[class ordinary]\nrank = %d\ndefault = yes\n", 1+version%7)
 	}}
 	started := time.Now()
@@ -127,15 +130,15 @@
 		return nil, err
 	}
 	r.nodes = slices.Clone(bed.Places)
-	ready, cancel := context.WithTimeout(ctx, controlReady)
+	readyCtx, cancel := context.WithTimeout(ctx, controlReadyTimeout)
 	defer cancel()
-	if err := bed.Up(ready); err != nil {
+	if err := bed.Up(readyCtx); err != nil {
 		return nil, err
 	}
-	if err := r.apply(ready); err != nil {
+	if err := r.apply(readyCtx); err != nil {
 		return nil, err
 	}
-	if err := bed.Ready(ready, 1); err != nil {
+	if err := bed.Ready(readyCtx, 1); err != nil {
 		return nil, err
 	}
 	fmt.Printf("- %d nodes: ready %.1f s after the start of the first; load average %s\n", size,
@@ -147,7 +150,7 @@
 }
 
 func (r *controlRun) measureIdle(ctx context.Context) error {
-	if err := pause(ctx, controlSettle); err != nil {
+	if err := pause(ctx, controlWarmUp); err != nil {
 		return err
 	}
 	before, err := r.usage(ctx)
@@ -163,7 +166,7 @@
 	}
 	r.idle = after.minus(before)
 	r.idle.memory = after.memory
-	r.add("idle", r.idle, 1/r.idle.span.Seconds(), 0)
+	r.addRow("idle", r.idle, 1/r.idle.span.Seconds(), 0)
 	return nil
 }
 
@@ -173,25 +176,25 @@
 		window time.Duration
 		run    func(ctx context.Context) (float64, error)
 	}{
-		{"configuration change", eventWindow, r.change},
-		{"join", eventWindow, func(ctx context.Context) (float64, error) { return r.join(ctx, extra) }},
-		{"leave", eventWindow, r.leave},
-		{"suspicion, refuted", eventWindow, r.suspicion},
-		{"death", eventWindow * 3 / 2, r.death},
+		{"configuration change", eventWindow, r.changeConfig},
+		{"join", eventWindow, func(ctx context.Context) (float64, error) { return r.startExtraNode(ctx, extra) }},
+		{"leave", eventWindow, r.stopExtraNode},
+		{"suspicion, refuted", eventWindow, r.freezeNode},
+		{"death", eventWindow * 3 / 2, r.killExtraNode},
 	}
 	for _, s := range steps {
-		if err := r.event(ctx, s.name, s.window, s.run); err != nil {
+		if err := r.measureEvent(ctx, s.name, s.window, s.run); err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
-	if len(r.nodes) < zoneSize {
+	if len(r.nodes) < minZoneLossNodes {
 		return nil
 	}
-	return r.zone(ctx)
+	return r.killZone(ctx)
 }
 
-// event adds what a node spends during the window in which the event happens, beyond the idle state.
-func (r *controlRun) event(ctx context.Context, name string, window time.Duration,
+// measureEvent adds a row with the cost per node during the window in which the event happens, excluding the idle cost.
+func (r *controlRun) measureEvent(ctx context.Context, name string, window time.Duration,
 	run func(ctx context.Context) (float64, error)) error {
 	before, err := r.usage(ctx)
 	if err != nil {
@@ -209,11 +212,11 @@
 	if err != nil {
 		return err
 	}
-	r.add(name, after.minus(before).less(r.idle), 1, took)
+	r.addRow(name, after.minus(before).minusIdle(r.idle), 1, took)
 	return nil
 }
 
-func (r *controlRun) add(event string, u usage, scale, took float64) {
+func (r *controlRun) addRow(event string, u usage, scale, took float64) {
 	n := float64(len(r.nodes))
 	r.rows = append(r.rows, controlRow{event: event, nodes: len(r.nodes), cpuMS: u.cpu.Seconds() * 1000 * scale / n,
 		sent: u.sent * scale / n, received: u.received * scale / n, reads: u.reads * scale / n, writes: u.writes * scale / n,
@@ -222,20 +225,20 @@
 
 func (r *controlRun) apply(ctx context.Context) error {
 	r.version++
-	inventory, rules := r.text(r.version)
+	inventory, rules := r.configText(r.version)
 	_, err := r.bed.Apply(ctx, inventory, rules)
 	return err
 }
 
-// change returns the time from the start of the apply command until the last node logged the version as in force.
-func (r *controlRun) change(ctx context.Context) (float64, error) {
+// changeConfig returns the time from the start of the apply command until the last node logged the version as in force.
+func (r *controlRun) changeConfig(ctx context.Context) (float64, error) {
 	start := time.Now()
 	if err := r.apply(ctx); err != nil {
 		return 0, err
 	}
 	var last time.Time
 	for _, p := range r.nodes {
-		at, err := inForceAt(filepath.Join(r.bed.Dir(), p.Node.Name+".log"), r.version)
+		at, err := findInForceTime(filepath.Join(r.bed.Dir(), p.Node.Name+".log"), r.version)
 		if err != nil {
 			return 0, err
 		}
@@ -248,7 +251,7 @@
 
 var inForceLine = regexp.MustCompile(`time=(\S+) .*event=config-in-force version=(\d+)`)
 
-func inForceAt(log string, version int) (time.Time, error) {
+func findInForceTime(log string, version int) (time.Time, error) {
 	f, err := os.Open(log)
 	if err != nil {
 		return time.Time{}, err
@@ -261,11 +264,11 @@
 			return time.Parse(time.RFC3339Nano, m[1])
 		}
 	}
-	return time.Time{}, errors.Join(s.Err(), fmt.Errorf("%s does not say when version %d took force", log, version))
+	return time.Time{}, errors.Join(s.Err(), fmt.Errorf("%s does not log when version %d came into force", log, version))
 }
 
-// join starts a further node and does not poll, since polls would count as processor time.
-func (r *controlRun) join(_ context.Context, extra testbed.Service) (float64, error) {
+// startExtraNode starts an additional node. It does not poll the nodes, since polls would add to their processor time.
+func (r *controlRun) startExtraNode(_ context.Context, extra testbed.Service) (float64, error) {
 	if err := r.bed.Add(extra); err != nil {
 		return 0, err
 	}
@@ -273,24 +276,27 @@
 	return 0, nil
 }
 
-func (r *controlRun) leave(context.Context) (float64, error) { return 0, r.extra.Node.Terminate() }
+func (r *controlRun) stopExtraNode(context.Context) (float64, error) {
+	return 0, r.extra.Node.Terminate()
+}
 
-// suspicion freezes a node that the ring watches until it is suspected and lets it refute that.
-func (r *controlRun) suspicion(ctx context.Context) (float64, error) {
+// freezeNode freezes a node that the ring monitors until it is suspected, and then lets it refute the suspicion.
+func (r *controlRun) freezeNode(ctx context.Context) (float64, error) {
 	p := r.nodes[0].Node
 	if err := p.Freeze(); err != nil {
 		return 0, err
 	}
-	return 0, errors.Join(pause(ctx, suspicionPause), p.Resume())
+	return 0, errors.Join(pause(ctx, freezeDuration), p.Resume())
 }
 
-// death starts the further node again, waits until all know it, and kills it. It returns the time until all removed it.
-func (r *controlRun) death(ctx context.Context) (float64, error) {
+// killExtraNode restarts the additional node, waits until all nodes know it, and kills it. It returns the time until all
+// nodes have removed it.
+func (r *controlRun) killExtraNode(ctx context.Context) (float64, error) {
 	start := time.Now()
 	if err := r.extra.Node.Start(); err != nil {
 		return 0, err
 	}
-	if err := r.allSee(ctx, r.nodes, len(r.nodes)+1); err != nil {
+	if err := r.waitForMembership(ctx, r.nodes, len(r.nodes)+1); err != nil {
 		return 0, err
 	}
 	fmt.Printf("- %d nodes: a node that starts is known to all after %.1f s\n", len(r.nodes), time.Since(start).Seconds())
@@ -301,32 +307,32 @@
 	if err := r.extra.Node.Kill(); err != nil {
 		return 0, err
 	}
-	err := r.allSee(ctx, r.nodes, len(r.nodes))
+	err := r.waitForMembership(ctx, r.nodes, len(r.nodes))
 	return time.Since(start).Seconds(), err
 }
 
-// zone kills all nodes of an availability zone at once and starts them again at once.
-func (r *controlRun) zone(ctx context.Context) error {
-	all := r.nodes
+// killZone kills all nodes of an availability zone at once and then restarts them all at once.
+func (r *controlRun) killZone(ctx context.Context) error {
+	allNodes := r.nodes
 	var lost []*testbed.Place
 	r.nodes = nil
-	for _, p := range all {
+	for _, p := range allNodes {
 		if p.Zone == controlZones[1] {
 			lost = append(lost, p)
 		} else {
 			r.nodes = append(r.nodes, p)
 		}
 	}
-	// The idle cost was measured for all nodes; the part of those that stay is their share of it.
-	r.idle = r.idle.scaled(float64(len(r.nodes)) / float64(len(all)))
-	err := r.event(ctx, "zone lost", eventWindow, func(ctx context.Context) (float64, error) {
+	// The idle cost was measured for all nodes, so the remaining nodes are charged their share of it.
+	r.idle = r.idle.scaled(float64(len(r.nodes)) / float64(len(allNodes)))
+	err := r.measureEvent(ctx, "zone lost", eventWindow, func(ctx context.Context) (float64, error) {
 		start := time.Now()
 		for _, p := range lost {
 			if err := p.Node.Kill(); err != nil {
 				return 0, err
 			}
 		}
-		err := r.allSee(ctx, r.nodes, len(r.nodes))
+		err := r.waitForMembership(ctx, r.nodes, len(r.nodes))
 		return time.Since(start).Seconds(), err
 	})
 	if err != nil {
@@ -336,7 +342,7 @@
 	if err != nil {
 		return err
 	}
-	err = r.event(ctx, "zone back", eventWindow, func(ctx context.Context) (float64, error) {
+	err = r.measureEvent(ctx, "zone back", eventWindow, func(ctx context.Context) (float64, error) {
 		start := time.Now()
 		for _, p := range lost {
 			if err := p.Node.Start(); err != nil {
@@ -346,27 +352,27 @@
 		if err := pause(ctx, time.Second); err != nil {
 			return 0, err
 		}
-		// Another program may have taken a port meanwhile.
-		back := slices.DeleteFunc(slices.Clone(lost), func(p *testbed.Place) bool { return !p.Node.Running() })
-		if len(back) < len(lost) {
-			fmt.Printf("- %d nodes did not find their ports free\n", len(lost)-len(back))
+		// A node does not restart if another program has taken one of its ports.
+		restarted := slices.DeleteFunc(slices.Clone(lost), func(p *testbed.Place) bool { return !p.Node.Running() })
+		if len(restarted) < len(lost) {
+			fmt.Printf("- %d nodes did not find their ports free\n", len(lost)-len(restarted))
 		}
-		up := append(slices.Clone(r.nodes), back...)
-		err := r.allSee(ctx, up, len(up))
+		alive := append(slices.Clone(r.nodes), restarted...)
+		err := r.waitForMembership(ctx, alive, len(alive))
 		return time.Since(start).Seconds(), err
 	})
 	if err != nil {
 		return err
 	}
 	after, err := r.bed.PlatformCounts(ctx)
-	fmt.Printf("- %d nodes, %d of them start at once: the store saw %d reads and %d writes until all were known\n", len(all),
+	fmt.Printf("- %d nodes, %d of them start at once: the store saw %d reads and %d writes until all were known\n", len(allNodes),
 		len(lost), after.Reads-counts.Reads, after.Writes-counts.Writes)
 	return err
 }
 
-// allSee waits until the views of all these nodes hold this many members, their own included.
-func (r *controlRun) allSee(ctx context.Context, nodes []*testbed.Place, members int) error {
-	ctx, cancel := context.WithTimeout(ctx, controlReady)
+// waitForMembership waits until all nodes have the given number of members in their view, including themselves.
+func (r *controlRun) waitForMembership(ctx context.Context, nodes []*testbed.Place, members int) error {
+	ctx, cancel := context.WithTimeout(ctx, controlReadyTimeout)
 	defer cancel()
 	for _, p := range nodes {
 		err := testbed.Until(ctx, "view of "+p.Node.Name, func(ctx context.Context) error {
@@ -396,7 +402,8 @@
 	return v, nil
 }
 
-// usage is the sum over the nodes of what they have spent since their start, and what the store has seen.
+// usage holds the resources that the nodes have used since their start, summed over the nodes, and the operations of the
+// store.
 type usage struct {
 	cpu                                   time.Duration
 	memory, sent, received, reads, writes float64
@@ -414,14 +421,14 @@
 		reads: u.reads * f, writes: u.writes * f, span: u.span}
 }
 
-// less takes off what idle nodes spend in the same time.
-func (u usage) less(idle usage) usage {
+// minusIdle subtracts the idle cost of the same time span.
+func (u usage) minusIdle(idle usage) usage {
 	f := float64(u.span) / float64(idle.span)
-	part := idle.scaled(f)
-	part.memory, part.at = 0, time.Time{}
-	left := u.minus(part)
-	left.span = u.span
-	return left
+	idlePart := idle.scaled(f)
+	idlePart.memory, idlePart.at = 0, time.Time{}
+	rest := u.minus(idlePart)
+	rest.span = u.span
+	return rest
 }
 
 func (r *controlRun) usage(ctx context.Context) (usage, error) {
@@ -454,7 +461,7 @@
 	return u, nil
 }
 
-// processUsage returns the processor time of all threads, in the scheduler's precision, and the resident memory in MB.
+// processUsage returns the processor time of all threads, at scheduler precision, and the resident memory in MB.
 func processUsage(pid int) (cpu time.Duration, memory float64, err error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
@@ -499,7 +506,7 @@
 	return strings.Join(strings.Fields(string(b))[:3], " ")
 }
 
-// printControl prints the rows and, for each event, the line through the sizes with its value at the target size.
+// printControl prints the rows and, for each event, the line fitted over the sizes and its value at the target size.
 func printControl(rows []controlRow) {
 	fmt.Println("\nFor each node; idle is for each second, events are the whole event beyond idle.")
 	fmt.Println()
--- a/cmd/bench/doc.go
+++ b/cmd/bench/doc.go
@@ -1,2 +1,2 @@
-// Command bench measures the targets of the design against baselines, on a deployment of real processes on loopback.
+// Command bench compares a deployment of real processes on loopback with the design targets and with baselines.
 package main
--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -14,27 +14,27 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// defaultSeed makes runs comparable.
+// defaultSeed is fixed so that runs are comparable.
 const defaultSeed = 20261204
 
-// part is a sub-benchmark.
+// part is one benchmark of the suite.
 type part struct {
-	name, what string
-	run        func(ctx context.Context, b *bench) error
-	// named means that the part only runs when it is named.
-	named bool
+	name, description string
+	run               func(ctx context.Context, b *bench) error
+	// optIn means that the part runs only if the command line names it.
+	optIn bool
 }
 
 var parts = []part{
-	{name: "overhead", what: "time that nodes add to a call", run: runOverhead},
-	{name: "overload", what: "goodput at 2x and 5x capacity", run: runOverload},
-	{name: "recovery", what: "time to recover after a surge with callers that retry hard", run: runRecovery},
-	{name: "swing", what: "service at the crest of a 10x swing", run: runSwing},
-	{name: "stragglers", what: "short calls among stragglers", run: runStragglers},
-	{name: "slowed", what: "tail latency with one backend server in six slowed", run: runSlowed},
-	{name: "control", what: "control cost of a node", run: runControl},
-	{name: "events", what: "control cost of changes and failures", run: runEvents, named: true},
-	{name: "calls", what: "processor time of a call on the calling and the serving node", run: runCalls, named: true},
+	{name: "overhead", description: "time that nodes add to a call", run: runOverhead},
+	{name: "overload", description: "goodput at 2x and 5x capacity", run: runOverload},
+	{name: "recovery", description: "time to recover after a surge with callers that retry hard", run: runRecovery},
+	{name: "swing", description: "service at the crest of a 10x swing", run: runSwing},
+	{name: "stragglers", description: "short calls among stragglers", run: runStragglers},
+	{name: "slowed", description: "tail latency with one backend server in six slowed", run: runSlowed},
+	{name: "control", description: "control cost of a node", run: runControl},
+	{name: "events", description: "control cost of changes and failures", run: runEvents, optIn: true},
+	{name: "calls", description: "processor time of a call on the calling and the serving node", run: runCalls, optIn: true},
 }
 
 func main() {
@@ -51,15 +51,15 @@
 	app.FatalIfError(err, "find the programs")
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	b := &bench{bin: filepath.Dir(bin), seed: *seed, sizes: *sizes}
+	b := &bench{bin: filepath.Dir(bin), seed: *seed, nodeCounts: *sizes}
 	fmt.Printf("seed %d\n\n", *seed)
 	failed := false
 	for _, p := range parts {
-		if len(*chosen) == 0 && p.named || len(*chosen) > 0 && !slices.Contains(*chosen, p.name) {
+		if len(*chosen) == 0 && p.optIn || len(*chosen) > 0 && !slices.Contains(*chosen, p.name) {
 			continue
 		}
 		start := time.Now()
-		fmt.Printf("## %s: %s\n\n", p.name, p.what)
+		fmt.Printf("## %s: %s\n\n", p.name, p.description)
 		b.rows = nil
 		err := p.run(ctx, b)
 		b.printRows(os.Stdout)
--- a/cmd/bench/overhead.go
+++ b/cmd/bench/overhead.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// overheadRate is what a node serves at the target size, in calls a second.
+	// overheadRate is the number of calls a second that a node serves at the target size.
 	overheadRate   = 100
 	overheadTarget = 730 * time.Microsecond
 )
 
-// runOverhead offers the same load at the same time to the backend server itself and through two nodes: the entry node
-// of another service and the serving node, which is what a call between two services passes.
+// runOverhead offers the same load at the same time to the backend server directly and through two nodes: a node of
+// another service and the serving node. A call between two services passes through the same two nodes.
 func runOverhead(ctx context.Context, b *bench) error {
 	services := []testbed.Service{
 		{Name: "front", Zones: []string{"rn-1"}, Slots: 64, Connections: 400, Timeout: time.Second},
@@ -35,21 +35,21 @@
 		})
 		g.Go("through", func(ctx context.Context) (err error) {
 			kinds := []standin.Kind{{Name: "call", Method: "GET", Path: "/echo/page", Weight: 1}}
-			_, through, err = b.load(ctx, addressesOf(bed.Of("front")), kinds, rate, window)
+			_, through, err = b.load(ctx, callerAddresses(bed.Of("front")), kinds, rate, window)
 			return err
 		})
 		if err := g.Wait(); err != nil {
 			return err
 		}
-		note("direct", direct)
-		note("through two nodes", through)
+		printResults("direct", direct)
+		printResults("through two nodes", through)
 		d, t := direct.Kind("call"), through.Kind("call")
-		b.add("time of a call, median", "%.2f ms", ms(t.Quantile(50)), "direct call", ms(d.Quantile(50)), "", true)
-		b.add("time of a call, p99", "%.2f ms", ms(t.Quantile(99)), "direct call", ms(d.Quantile(99)), "", true)
-		b.add("time added, median", "%.2f ms", ms(t.Quantile(50)-d.Quantile(50)), "direct call", -1, "", true)
+		b.addRow("time of a call, median", "%.2f ms", ms(t.Quantile(50)), "direct call", ms(d.Quantile(50)), "", true)
+		b.addRow("time of a call, p99", "%.2f ms", ms(t.Quantile(99)), "direct call", ms(d.Quantile(99)), "", true)
+		b.addRow("time added, median", "%.2f ms", ms(t.Quantile(50)-d.Quantile(50)), "direct call", -1, "", true)
 		added := t.Quantile(99) - d.Quantile(99)
 		whole := t.Share() == 1 && d.Share() == 1
-		b.add("time added, p99", "%.2f ms", ms(added), "direct call", -1, "at most 0.73 ms", whole && added <= overheadTarget)
+		b.addRow("time added, p99", "%.2f ms", ms(added), "direct call", -1, "at most 0.73 ms", whole && added <= overheadTarget)
 		return nil
 	})
 }
