--- a/standin/backend.go
+++ b/standin/backend.go
@@ -23,74 +23,76 @@
 	headerPoison    = "Poison"
 	headerSend      = "Send"
 
-	// coldFactor is how much longer work takes during the cold start.
-	coldFactor = 5
-	// loadSampleInterval is how often the load for lagging reports is sampled.
+	// coldStartFactor multiplies the service time during the cold start.
+	coldStartFactor = 5
+	// loadSampleInterval is the interval between the load samples that lagging reports are taken from.
 	loadSampleInterval = 200 * time.Millisecond
-	// crashStatus is the exit status of a backend server that a poisoned request crashed.
-	crashStatus = 3
+	// crashExitStatus is the exit status of a backend server after a poisoned request.
+	crashExitStatus = 3
 )
 
-// BackendOptions describe one backend server.
+// BackendOptions configures a backend server.
 type BackendOptions struct {
 	Service string
-	// Slots is how many calls are worked on at once; further ones wait in a queue that no report shows.
+	// Slots is the maximum number of calls that run in parallel. Further calls wait in a queue; load reports show only
+	// the sum of running and waiting calls.
 	Slots int
-	// QueueLimit is how many calls may wait before further ones are answered 503; 0 means no limit.
+	// QueueLimit is the maximum number of waiting calls; further calls are answered with 503. 0 means no limit.
 	QueueLimit int
-	// Connections is the size of the connection table: further connections are reset; 0 means no limit.
+	// Connections is the maximum number of open connections; further connections are reset. 0 means no limit.
 	Connections int
 	ServiceTime time.Duration
-	// Fixed makes every call take ServiceTime instead of an exponential time with that mean.
+	// Fixed makes every call take ServiceTime. By default, service times are exponentially distributed with that mean.
 	Fixed bool
-	// A share of StragglerShare of the calls takes StragglerFactor times longer.
+	// StragglerShare is the fraction of the calls that take StragglerFactor times longer.
 	StragglerShare, StragglerFactor float64
-	// ColdStart is how long after the start the health is bad and work takes longer.
+	// ColdStart is the time after the start in which the server reports itself unhealthy and calls take longer.
 	ColdStart time.Duration
 	// LoadLag is the age of the load report.
 	LoadLag time.Duration
-	// Node is the address of the backend listener of the node beside the backend server.
+	// Node is the address of the backend listener of the backend server's node.
 	Node  string
 	Calls []PlannedCall
-	// Parallel sends the planned calls at once instead of one after the other.
+	// Parallel sends the planned calls concurrently instead of sequentially.
 	Parallel bool
-	// Retries is how often the backend server itself resends a planned call that failed, at once.
+	// Retries is the maximum number of retries of a failed planned call, sent without backoff.
 	Retries int
 	Seed    uint64
-	// Journal is a file to which each start of work is appended as a JSON line; empty means none.
+	// Journal is a file to which each start of a call is appended as a JSON line; empty means none.
 	Journal string
-	// Echo answers with the request body instead of an Answer.
+	// Echo makes the server return the request body instead of an Answer.
 	Echo bool
-	// Crash ends the process; nil means os.Exit.
+	// Crash terminates the process; nil means os.Exit.
 	Crash func(status int)
 }
 
-// BackendFaults switches faults on or off; absent fields stay as they are.
+// BackendFaults sets injected faults; absent fields leave theirs unchanged.
 type BackendFaults struct {
 	// SlowFactor multiplies the service time.
 	SlowFactor *float64 `json:"slow-factor,omitempty"`
-	// StallMS stops all progress for that time, health and load included.
+	// StallMS blocks all requests for that time, health checks and load reports included.
 	StallMS *int64 `json:"stall-ms,omitempty"`
-	// Drain refuses new calls with 503 and lets the ones in flight end.
+	// Drain refuses new calls with 503 and lets the calls in flight finish.
 	Drain *bool `json:"drain,omitempty"`
-	// Unhealthy makes the health bad and changes nothing else.
+	// Unhealthy makes health checks fail without any other effect.
 	Unhealthy *bool `json:"unhealthy,omitempty"`
-	// ReportInFlight is a misleading number for the load report; a negative one ends it.
+	// ReportInFlight overrides the calls in flight in load reports with a false value; a negative value removes the
+	// override.
 	ReportInFlight *int `json:"report-in-flight,omitempty"`
 }
 
-// LoadReport is the answer to GET /load.
+// LoadReport is the response body of GET /load.
 type LoadReport struct {
 	InFlight int `json:"in-flight"`
 	Slots    int `json:"slots"`
 }
 
-// Answer is the body of a good answer.
+// Answer is the response body of a successful call.
 type Answer struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	Request string `json:"request"`
-	// Straggler tells that the work was drawn to take longer.
+	// Straggler is set if the call was randomly selected to take longer.
 	Straggler bool `json:"straggler,omitempty"`
 }
 
@@ -99,7 +101,7 @@
 	inFlight int
 }
 
-// BackendServer is an HTTP server with a hard limit on parallel work.
+// BackendServer is an HTTP server that runs a bounded number of calls in parallel.
 type BackendServer struct {
 	opt    BackendOptions
 	clock  kernel.Clock
@@ -111,10 +113,10 @@
 	inFlight atomic.Int64
 	waiting  atomic.Int64
 
-	ran ranLog
+	starts startLog
 
 	mu             sync.Mutex
-	work           map[string][]*work
+	activeCalls    map[string][]*activeCall
 	samples        []loadSample
 	slowFactor     float64
 	stallUntil     time.Time
@@ -123,7 +125,7 @@
 	reportInFlight int
 }
 
-// NewBackendServer returns a backend server that has not started to listen.
+// NewBackendServer returns a backend server; Serve starts it.
 func NewBackendServer(opt BackendOptions, clock kernel.Clock) *BackendServer {
 	if opt.Slots < 1 {
 		opt.Slots = 1
@@ -138,14 +140,14 @@
 		slots:          make(chan struct{}, opt.Slots),
 		start:          clock.Now(),
 		client:         newClient(opt.Node),
-		work:           map[string][]*work{},
+		activeCalls:    map[string][]*activeCall{},
 		slowFactor:     1,
 		reportInFlight: -1,
-		ran:            ranLog{journal: opt.Journal},
+		starts:         startLog{journal: opt.Journal},
 	}
 }
 
-// Serve answers requests on ln until the group stops.
+// Serve handles requests on ln until the group stops.
 func (b *BackendServer) Serve(g *kernel.Group, ln net.Listener) {
 	if b.opt.Connections > 0 {
 		ln = &limitedListener{Listener: ln, limit: int64(b.opt.Connections)}
@@ -157,13 +159,13 @@
 func (b *BackendServer) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	if path != "/standin/faults" && path != "/standin/ran" {
-		b.waitForStall()
+		b.waitWhileStalled()
 	}
 	switch path {
 	case "/health":
-		b.health(ctx)
+		b.answerHealth(ctx)
 	case "/load":
-		answerJSON(ctx, fasthttp.StatusOK, b.load())
+		answerJSON(ctx, fasthttp.StatusOK, b.loadReport())
 	case "/lovagelane/cancel":
 		b.cancel(string(ctx.Request.Header.Peek(headerContext)))
 	case "/standin/faults":
@@ -176,11 +178,11 @@
 	case "/standin/ran":
 		answerJSON(ctx, fasthttp.StatusOK, b.Ran())
 	default:
-		b.call(ctx, path)
+		b.handleCall(ctx, path)
 	}
 }
 
-// SetFaults switches faults on or off.
+// SetFaults sets the faults whose fields are present in f.
 func (b *BackendServer) SetFaults(f BackendFaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -201,19 +203,19 @@
 	}
 }
 
-// Ran returns what the backend server has run so far.
-func (b *BackendServer) Ran() Ran { return b.ran.read() }
+// Ran returns the counts of the calls started so far.
+func (b *BackendServer) Ran() Ran { return b.starts.snapshot() }
 
-// InFlight returns the number of calls that run or wait.
+// InFlight returns the number of running and waiting calls.
 func (b *BackendServer) InFlight() int { return int(b.inFlight.Load()) }
 
-func (b *BackendServer) cold() bool { return b.clock.Now().Sub(b.start) < b.opt.ColdStart }
+func (b *BackendServer) inColdStart() bool { return b.clock.Now().Sub(b.start) < b.opt.ColdStart }
 
-func (b *BackendServer) health(ctx *fasthttp.RequestCtx) {
+func (b *BackendServer) answerHealth(ctx *fasthttp.RequestCtx) {
 	b.mu.Lock()
-	bad := b.drain || b.unhealthy
+	unhealthy := b.drain || b.unhealthy
 	b.mu.Unlock()
-	if bad || b.cold() {
+	if unhealthy || b.inColdStart() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
@@ -224,7 +226,7 @@
 	return b.drain
 }
 
-func (b *BackendServer) waitForStall() {
+func (b *BackendServer) waitWhileStalled() {
 	for {
 		b.mu.Lock()
 		d := b.stallUntil.Sub(b.clock.Now())
@@ -236,26 +238,26 @@
 	}
 }
 
-// serviceTime draws the time that the next call takes and whether it is a straggler.
-func (b *BackendServer) serviceTime() (d time.Duration, straggler bool) {
-	f := 1.0
+// drawServiceTime draws a random service time and reports whether the call is a straggler.
+func (b *BackendServer) drawServiceTime() (d time.Duration, straggler bool) {
+	factor := 1.0
 	if !b.opt.Fixed {
-		f = -math.Log(1 - b.rand.Float64())
+		factor = -math.Log(1 - b.rand.Float64())
 	}
 	if b.opt.StragglerShare > 0 && b.rand.Float64() < b.opt.StragglerShare {
 		straggler = true
-		f *= b.opt.StragglerFactor
+		factor *= b.opt.StragglerFactor
 	}
-	if b.cold() {
-		f *= coldFactor
+	if b.inColdStart() {
+		factor *= coldStartFactor
 	}
 	b.mu.Lock()
-	f *= b.slowFactor
+	factor *= b.slowFactor
 	b.mu.Unlock()
-	return time.Duration(f * float64(b.opt.ServiceTime)), straggler
+	return time.Duration(factor * float64(b.opt.ServiceTime)), straggler
 }
 
-func (b *BackendServer) call(ctx *fasthttp.RequestCtx, path string) {
+func (b *BackendServer) handleCall(ctx *fasthttp.RequestCtx, path string) {
 	if b.draining() {
 		ctx.SetConnectionClose()
 		ctx.Error("draining", fasthttp.StatusServiceUnavailable)
@@ -268,34 +270,34 @@
 	b.inFlight.Add(1)
 	defer b.inFlight.Add(-1)
 
-	w := newWork(ctx, b.clock.Now())
+	w := newActiveCall(ctx, b.clock.Now())
 	b.register(w)
 	defer b.unregister(w)
-	defer w.stop()
+	defer w.stopTimer()
 
 	b.waiting.Add(1)
-	got := w.acquire(b.slots)
+	acquired := w.acquire(b.slots)
 	b.waiting.Add(-1)
-	if !got {
+	if !acquired {
 		ctx.Error("gave up before the start: "+w.reason(), fasthttp.StatusServiceUnavailable)
 		return
 	}
 	defer func() { <-b.slots }()
 
-	if err := b.ran.add(identify(ctx), string(ctx.Method()), path, string(ctx.Request.Header.Peek(headerSend))); err != nil {
+	if err := b.starts.record(identityOf(ctx), string(ctx.Method()), path, string(ctx.Request.Header.Peek(headerSend))); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	if poisoned(ctx, path) {
-		b.opt.Crash(crashStatus)
+	if isPoisoned(ctx, path) {
+		b.opt.Crash(crashExitStatus)
 	}
-	d, straggler := b.serviceTime()
+	d, straggler := b.drawServiceTime()
 	if !w.sleep(d) {
 		ctx.Error("gave up while running: "+w.reason(), fasthttp.StatusGatewayTimeout)
 		return
 	}
-	b.waitForStall()
-	failed := b.sendPlanned(ctx, path, w)
+	b.waitWhileStalled()
+	failed := b.makePlannedCalls(ctx, path, w)
 	if failed != nil {
 		answerJSON(ctx, fasthttp.StatusBadGateway, failed)
 		return
@@ -304,34 +306,34 @@
 		ctx.SetBody(ctx.PostBody())
 		return
 	}
-	answerJSON(ctx, fasthttp.StatusOK, Answer{Service: b.opt.Service, Path: path, Request: identify(ctx).Request,
+	answerJSON(ctx, fasthttp.StatusOK, Answer{Service: b.opt.Service, Path: path, Request: identityOf(ctx).Request,
 		Straggler: straggler})
 }
 
-func poisoned(ctx *fasthttp.RequestCtx, path string) bool {
+func isPoisoned(ctx *fasthttp.RequestCtx, path string) bool {
 	return strings.HasPrefix(path, "/poison") || len(ctx.Request.Header.Peek(headerPoison)) > 0
 }
 
-func (b *BackendServer) register(w *work) {
+func (b *BackendServer) register(w *activeCall) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.work[w.context] = append(b.work[w.context], w)
+	b.activeCalls[w.context] = append(b.activeCalls[w.context], w)
 }
 
-func (b *BackendServer) unregister(w *work) {
+func (b *BackendServer) unregister(w *activeCall) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var rest []*work
-	for _, o := range b.work[w.context] {
+	var remaining []*activeCall
+	for _, o := range b.activeCalls[w.context] {
 		if o != w {
-			rest = append(rest, o)
+			remaining = append(remaining, o)
 		}
 	}
-	if len(rest) == 0 {
-		delete(b.work, w.context)
+	if len(remaining) == 0 {
+		delete(b.activeCalls, w.context)
 		return
 	}
-	b.work[w.context] = rest
+	b.activeCalls[w.context] = remaining
 }
 
 func (b *BackendServer) cancel(context string) {
@@ -340,25 +342,25 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, w := range b.work[context] {
+	for _, w := range b.activeCalls[context] {
 		w.cancel()
 	}
 }
 
-// work is one call that waits or runs.
-type work struct {
+// activeCall is a waiting or running call.
+type activeCall struct {
 	context  string
 	deadline time.Time
-	// timer fires at the deadline; its channel is nil without one.
-	timer     *time.Timer
-	expired   <-chan time.Time
-	cancelled chan struct{}
-	once      sync.Once
-	late      bool
+	// timer fires at the deadline; without a deadline, timer and expired are nil.
+	timer          *time.Timer
+	expired        <-chan time.Time
+	cancelled      chan struct{}
+	once           sync.Once
+	deadlinePassed bool
 }
 
-func newWork(ctx *fasthttp.RequestCtx, now time.Time) *work {
-	w := &work{context: string(ctx.Request.Header.Peek(headerContext)), cancelled: make(chan struct{})}
+func newActiveCall(ctx *fasthttp.RequestCtx, now time.Time) *activeCall {
+	w := &activeCall{context: string(ctx.Request.Header.Peek(headerContext)), cancelled: make(chan struct{})}
 	if ms, err := strconv.ParseInt(string(ctx.Request.Header.Peek(headerDeadline)), 10, 64); err == nil {
 		d := time.Duration(ms) * time.Millisecond
 		w.deadline = now.Add(d)
@@ -368,43 +370,43 @@
 	return w
 }
 
-func (w *work) cancel() { w.once.Do(func() { close(w.cancelled) }) }
+func (w *activeCall) cancel() { w.once.Do(func() { close(w.cancelled) }) }
 
-func (w *work) stop() {
+func (w *activeCall) stopTimer() {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
 }
 
-func (w *work) reason() string {
-	if w.late {
+func (w *activeCall) reason() string {
+	if w.deadlinePassed {
 		return "deadline passed"
 	}
 	return "cancelled"
 }
 
-// acquire takes a slot and reports false when the work was cancelled or its deadline passed first.
-func (w *work) acquire(slots chan struct{}) bool {
+// acquire takes a slot. It returns false if the call is cancelled or its deadline passes first.
+func (w *activeCall) acquire(slots chan struct{}) bool {
 	select {
 	case <-w.cancelled:
 		return false
 	case <-w.expired:
-		w.late = true
+		w.deadlinePassed = true
 		return false
 	case slots <- struct{}{}:
 		return true
 	}
 }
 
-// sleep waits for d and reports false when the work was cancelled or its deadline passed first.
-func (w *work) sleep(d time.Duration) bool {
+// sleep waits for d. It returns false if the call is cancelled or its deadline passes first.
+func (w *activeCall) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-w.cancelled:
 		return false
 	case <-w.expired:
-		w.late = true
+		w.deadlinePassed = true
 		return false
 	case <-t.C:
 		return true
--- a/standin/caller.go
+++ b/standin/caller.go
@@ -18,54 +18,54 @@
 )
 
 const (
-	// dialTimeout bounds a connect to one address; the next address is tried after it.
+	// dialTimeout bounds the connection attempt to one address; the caller then tries the next address.
 	dialTimeout = time.Second
-	// maxClientConns is above every load that the stand-ins offer, so that the client itself never queues.
+	// maxClientConns exceeds the concurrency of every load that the stand-ins generate, so that the client never queues.
 	maxClientConns = 1 << 14
-	// maxAddressTries bounds the addresses that one send tries.
+	// maxAddressTries bounds the addresses tried for one send.
 	maxAddressTries = 4
 	defaultTimeout  = 2 * time.Second
 )
 
-// Kind is a kind of request of a mix.
+// Kind describes one kind of request in a load.
 type Kind struct {
 	Name   string
 	Method string
-	// Path begins with the service, as in /nursery/orders.
+	// Path starts with the service name, as in /nursery/orders.
 	Path string
-	// Weight is the share of the kind relative to the other kinds.
+	// Weight is the relative frequency of the kind.
 	Weight float64
-	// NonIdempotent requests carry an order id and go through the ticket handshake.
+	// NonIdempotent marks requests that carry an order id and that nodes accept only with a ticket.
 	NonIdempotent bool
 	Timeout       time.Duration
-	// Retries is how often a request that was not answered is sent again, at once.
+	// Retries is the maximum number of resends of an unsuccessful request, sent without backoff.
 	Retries int
-	// TryTimeout is when the caller gives up on one send; 0 means the whole timeout.
+	// TryTimeout bounds one send; 0 means the whole timeout.
 	TryTimeout time.Duration
-	// BodyBytes is added to the body.
+	// BodyBytes is the number of padding bytes in the body.
 	BodyBytes int
 }
 
-// Caller offers an open-loop load: arrivals do not wait for answers.
+// Caller generates an open-loop load: the arrival of a request does not depend on the answers to earlier ones.
 type Caller struct {
-	// Addresses are those of callers listeners; each request starts at a random one.
+	// Addresses are the nodes' callers listeners; each request tries a random one first.
 	Addresses []string
 	Kinds     []Kind
 	Profile   Profile
 	Duration  time.Duration
 	Seed      uint64
-	// Name distinguishes the request ids of several callers.
+	// Name is the prefix of the request ids, so that several callers use different ids.
 	Name string
-	// StateResends sends Lovagelane-Resend, as a caller does that keeps to the protocol.
+	// StateResends sets Lovagelane-Resend on resends, as the protocol requires.
 	StateResends bool
-	// Observe is called with each result, from several goroutines at once.
+	// Observe is called with each result, concurrently from several goroutines.
 	Observe func(Result)
 
 	mu      sync.Mutex
 	clients map[string]*fasthttp.HostClient
 }
 
-// Run offers the load and returns the results after the last request ended.
+// Run generates the load and returns the results after the last request has finished.
 func (c *Caller) Run(ctx context.Context) (*Results, error) {
 	var names []string
 	total := 0.0
@@ -93,10 +93,10 @@
 		if rate <= 0 {
 			continue
 		}
-		r := &request{caller: c, kind: c.pick(rand, total), id: fmt.Sprintf("%s-%x", c.Name, rand.Uint64()),
-			first: rand.IntN(len(c.Addresses)), arrival: start.Add(at)}
+		r := &request{caller: c, kind: c.pickKind(rand, total), id: fmt.Sprintf("%s-%x", c.Name, rand.Uint64()),
+			firstAddress: rand.IntN(len(c.Addresses)), arrival: start.Add(at)}
 		g.Go("request", func(context.Context) error {
-			res := r.run()
+			res := r.sendUntilAnswered()
 			res.Arrived, res.Done = r.arrival.Sub(start), time.Since(start)
 			results.Add(res)
 			if c.Observe != nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (c *Caller) pick(rand *kernel.Rand, total float64) Kind {
+func (c *Caller) pickKind(rand *kernel.Rand, total float64) Kind {
 	x := rand.Float64() * total
 	for _, k := range c.Kinds {
 		if x -= k.Weight; x < 0 {
@@ -135,7 +135,7 @@
 	return c.Kinds[len(c.Kinds)-1]
 }
 
-func (c *Caller) client(address string) *fasthttp.HostClient {
+func (c *Caller) clientFor(address string) *fasthttp.HostClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.clients == nil {
@@ -158,8 +158,8 @@
 	c.clients = nil
 }
 
-// newClient returns a client that sends each request once: the library must not resend by itself, since results and
-// logs count every send.
+// newClient returns a client that sends each request once. The library's own retries are disabled, since results and
+// start counts include every send.
 func newClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -176,32 +176,32 @@
 	}
 }
 
-// dialError marks a send that reached nobody.
+// dialError is returned if a connection could not be established, so that no request was sent.
 type dialError struct{ error }
 
-// request is one request with its sends.
+// request is a request with the state shared by its sends.
 type request struct {
-	caller  *Caller
-	kind    Kind
-	id      string
-	first   int
-	arrival time.Time
-	ticket  string
+	caller       *Caller
+	kind         Kind
+	id           string
+	firstAddress int
+	arrival      time.Time
+	ticket       string
 }
 
-// answer is what one send brought.
-type answer struct {
-	end    End
-	reason string
-	notRun bool
-	ticket string
-	// straggler tells that the work itself was long.
+// sendResult is the result of one send.
+type sendResult struct {
+	outcome Outcome
+	reason  string
+	notRun  bool
+	ticket  string
+	// straggler is set if the call was randomly selected to take longer.
 	straggler bool
 }
 
-// run sends the request until it is answered or the kind's resends are used up. The latency counts from the arrival
-// that the profile planned, so that a slow caller does not hide waiting time.
-func (r *request) run() Result {
+// sendUntilAnswered sends the request until it is answered, its deadline has passed or its resends are used up. The
+// latency is measured from the arrival time that the profile sets, so that delays in the caller itself are included.
+func (r *request) sendUntilAnswered() Result {
 	timeout := r.kind.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -209,11 +209,11 @@
 	deadline := r.arrival.Add(timeout)
 	res := Result{Kind: r.kind.Name, Request: r.id, NotRun: true}
 	for resend := 0; resend <= r.kind.Retries; resend++ {
-		a := r.sendWithTicket(resend, deadline)
+		last := r.sendWithTicket(resend, deadline)
 		res.Sends++
-		res.End, res.Reason, res.Straggler = a.end, a.reason, a.straggler
-		res.NotRun = res.NotRun && a.notRun
-		if a.end == Answered || !time.Now().Before(deadline) {
+		res.Outcome, res.Reason, res.Straggler = last.outcome, last.reason, last.straggler
+		res.NotRun = res.NotRun && last.notRun
+		if last.outcome == Answered || !time.Now().Before(deadline) {
 			break
 		}
 	}
@@ -221,7 +221,7 @@
 	return res
 }
 
-func (r *request) sendWithTicket(resend int, deadline time.Time) answer {
+func (r *request) sendWithTicket(resend int, deadline time.Time) sendResult {
 	a := r.send(resend, deadline)
 	if a.ticket == "" || r.ticket != "" {
 		return a
@@ -230,8 +230,8 @@
 	return r.send(resend, deadline)
 }
 
-// send tries one address after the other until one takes the connection.
-func (r *request) send(resend int, deadline time.Time) answer {
+// send tries the addresses in order until one accepts the connection, at most maxAddressTries.
+func (r *request) send(resend int, deadline time.Time) sendResult {
 	addresses := r.caller.Addresses
 	tryDeadline := deadline
 	if r.kind.TryTimeout > 0 {
@@ -240,7 +240,7 @@
 		}
 	}
 	for i := range min(maxAddressTries, len(addresses)) {
-		a, err := r.sendTo(addresses[(r.first+i)%len(addresses)], resend, tryDeadline)
+		a, err := r.sendTo(addresses[(r.firstAddress+i)%len(addresses)], resend, tryDeadline)
 		var dial dialError
 		switch {
 		case err == nil:
@@ -248,15 +248,15 @@
 		case errors.As(err, &dial):
 			continue
 		case errors.Is(err, fasthttp.ErrTimeout):
-			return answer{end: Late, reason: "caller-timeout"}
+			return sendResult{outcome: TimedOut, reason: "caller-timeout"}
 		default:
-			return answer{end: Unknown, reason: "connection-broke"}
+			return sendResult{outcome: Unknown, reason: "connection-broke"}
 		}
 	}
-	return answer{end: Refused, reason: "no-address", notRun: true}
+	return sendResult{outcome: Refused, reason: "no-address", notRun: true}
 }
 
-func (r *request) sendTo(address string, resend int, deadline time.Time) (answer, error) {
+func (r *request) sendTo(address string, resend int, deadline time.Time) (sendResult, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -275,10 +275,10 @@
 		req.Header.SetContentType("application/json")
 		req.SetBody(r.body())
 	}
-	if err := r.caller.client(address).DoDeadline(req, resp, deadline); err != nil {
-		return answer{}, err
+	if err := r.caller.clientFor(address).DoDeadline(req, resp, deadline); err != nil {
+		return sendResult{}, err
 	}
-	return readAnswer(resp, r.id), nil
+	return classifyAnswer(resp, r.id), nil
 }
 
 func (r *request) body() []byte {
@@ -289,27 +289,27 @@
 	if r.kind.NonIdempotent {
 		body.Order = "order-" + r.id
 	}
-	// Marshalling two strings cannot fail.
+	// Marshalling strings cannot fail.
 	b, _ := json.Marshal(body)
 	return b
 }
 
-// readAnswer sorts an answer by its status and by what the node said about the outcome.
-func readAnswer(resp *fasthttp.Response, id string) answer {
+// classifyAnswer classifies an answer by its status and by the headers in which the node states outcome and reason.
+func classifyAnswer(resp *fasthttp.Response, id string) sendResult {
 	reason := string(resp.Header.Peek("Lovagelane-Reason"))
 	outcome := string(resp.Header.Peek("Lovagelane-Outcome"))
-	a := answer{reason: reason, notRun: outcome == "not-run", ticket: string(resp.Header.Peek("Lovagelane-Ticket"))}
+	a := sendResult{reason: reason, notRun: outcome == "not-run", ticket: string(resp.Header.Peek("Lovagelane-Ticket"))}
 	switch {
 	case resp.StatusCode() < 300:
-		return readBody(resp.Body(), id)
+		return classifyBody(resp.Body(), id)
 	case a.notRun && (reason == reasonShed || reason == reasonQueueFull):
-		a.end = Shed
+		a.outcome = Shed
 	case a.notRun:
-		a.end = Refused
+		a.outcome = Refused
 	case outcome == "unknown":
-		a.end = Unknown
+		a.outcome = Unknown
 	default:
-		a.end = Failed
+		a.outcome = Failed
 		var inner FailedCall
 		if json.Unmarshal(resp.Body(), &inner) == nil && inner.Service != "" {
 			a.reason = strings.TrimSuffix("inner-"+inner.Service+"-"+inner.Reason, "-")
@@ -318,19 +318,19 @@
 	return a
 }
 
-// readBody checks that the answer is the whole one to this request and not that to another request.
-func readBody(body []byte, id string) answer {
+// classifyBody checks that the body is complete and answers this request, not another one.
+func classifyBody(body []byte, id string) sendResult {
 	var got Answer
 	if json.Unmarshal(body, &got) != nil {
-		return answer{end: Failed, reason: "answer-not-whole"}
+		return sendResult{outcome: Failed, reason: "answer-not-whole"}
 	}
 	if got.Request != id {
-		return answer{end: Failed, reason: "answer-of-another-request"}
+		return sendResult{outcome: Failed, reason: "answer-of-another-request"}
 	}
-	return answer{end: Answered, straggler: got.Straggler}
+	return sendResult{outcome: Answered, straggler: got.Straggler}
 }
 
-// ParseKind reads a kind such as orders:POST:/nursery/orders:weight=5:non-idempotent.
+// ParseKind parses a kind such as orders:POST:/nursery/orders:weight=5:non-idempotent.
 func ParseKind(text string) (Kind, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 3 || !strings.HasPrefix(parts[2], "/") {
--- a/standin/load.go
+++ b/standin/load.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// sampleLoad records the load so that a report can be as old as the options say.
+// sampleLoad records the load periodically, so that reports can lag by the configured LoadLag.
 func (b *BackendServer) sampleLoad(ctx context.Context) error {
 	ticker := time.NewTicker(loadSampleInterval)
 	defer ticker.Stop()
@@ -17,13 +17,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			b.addSample(loadSample{at: b.clock.Now(), inFlight: b.InFlight()})
+			b.addLoadSample(loadSample{at: b.clock.Now(), inFlight: b.InFlight()})
 		}
 	}
 }
 
-// addSample drops all samples older than the newest one that is old enough to be reported.
-func (b *BackendServer) addSample(s loadSample) {
+// addLoadSample appends a sample and removes those older than the newest sample that is at least LoadLag old.
+func (b *BackendServer) addLoadSample(s loadSample) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.samples = append(b.samples, s)
@@ -32,7 +32,7 @@
 	}
 }
 
-func (b *BackendServer) load() LoadReport {
+func (b *BackendServer) loadReport() LoadReport {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,14 +52,14 @@
 	return r
 }
 
-// limitedListener resets connections beyond its limit, as a server with a full connection table does.
+// limitedListener resets connections beyond its limit, like a server whose connection table is full.
 type limitedListener struct {
 	net.Listener
 	limit int64
 	open  atomic.Int64
 }
 
-// Accept returns the next connection that fits the table.
+// Accept returns the next connection within the limit and resets those beyond it.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -83,7 +83,7 @@
 	once sync.Once
 }
 
-// Close closes the connection and frees its place in the table.
+// Close closes the connection, which then no longer counts towards the limit.
 func (c *limitedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/standin/planned.go
+++ b/standin/planned.go
@@ -11,52 +11,52 @@
 	"lovagelane/kernel"
 )
 
-// unlimitedCallTimeout bounds a planned call whose parent came without a deadline.
-const unlimitedCallTimeout = 30 * time.Second
+// defaultCallTimeout bounds a planned call whose parent call has no deadline.
+const defaultCallTimeout = 30 * time.Second
 
-// PlannedCall is a call to another service that a backend server makes while it works on a path.
+// PlannedCall is a call that a backend server makes to another service while it handles calls of a path.
 type PlannedCall struct {
-	// On is the path that makes the call.
-	On string
-	// Service, Method and Path are what is called.
+	// ParentPath is the path whose calls make this call.
+	ParentPath string
+	// Service, Method and Path identify the operation that is called.
 	Service, Method, Path string
 }
 
-// ParsePlannedCall reads a planned call such as /orders=payments:POST:/pay.
+// ParsePlannedCall parses a planned call such as /orders=payments:POST:/pay.
 func ParsePlannedCall(s string) (PlannedCall, error) {
-	on, target, ok := strings.Cut(s, "=")
+	parentPath, target, ok := strings.Cut(s, "=")
 	parts := strings.SplitN(target, ":", 3)
-	if !ok || len(parts) != 3 || !strings.HasPrefix(on, "/") || !strings.HasPrefix(parts[2], "/") {
+	if !ok || len(parts) != 3 || !strings.HasPrefix(parentPath, "/") || !strings.HasPrefix(parts[2], "/") {
 		return PlannedCall{}, Error.New("call %q is malformed: write it as /path=service:METHOD:/path", s)
 	}
-	return PlannedCall{On: on, Service: parts[0], Method: parts[1], Path: parts[2]}, nil
+	return PlannedCall{ParentPath: parentPath, Service: parts[0], Method: parts[1], Path: parts[2]}, nil
 }
 
-// FailedCall is the body of the answer to a call whose planned call failed; it names the deepest call that failed.
+// FailedCall is the response body of a call whose planned call failed. It describes the deepest failed call.
 type FailedCall struct {
 	Service string `json:"service"`
 	Status  int    `json:"status"`
-	// Outcome and Reason are what the node said about the failed call.
+	// Outcome and Reason are the values of the node's headers in the answer to the failed call.
 	Outcome string `json:"outcome,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 	Problem string `json:"problem,omitempty"`
 }
 
-// sendPlanned makes the calls that the plan gives for path and returns the first one that failed.
-func (b *BackendServer) sendPlanned(ctx *fasthttp.RequestCtx, path string, w *work) *FailedCall {
+// makePlannedCalls makes the calls planned for path. It returns the first failed one in the order of the plan, or nil.
+func (b *BackendServer) makePlannedCalls(ctx *fasthttp.RequestCtx, path string, w *activeCall) *FailedCall {
 	var calls []PlannedCall
 	for _, c := range b.opt.Calls {
-		if c.On == path {
+		if c.ParentPath == path {
 			calls = append(calls, c)
 		}
 	}
 	if len(calls) == 0 {
 		return nil
 	}
-	in := parent{work: w, body: ctx.PostBody(), identity: identify(ctx)}
+	parent := parentCall{call: w, body: ctx.PostBody(), identity: identityOf(ctx)}
 	if !b.opt.Parallel || len(calls) == 1 {
 		for _, c := range calls {
-			if f := b.sendWithRetries(c, in); f != nil {
+			if f := b.sendWithRetries(c, parent); f != nil {
 				return f
 			}
 		}
@@ -66,7 +66,7 @@
 	g := kernel.NewGroup(context.Background())
 	for i, c := range calls {
 		g.Go("planned-call", func(context.Context) error {
-			failed[i] = b.sendWithRetries(c, in)
+			failed[i] = b.sendWithRetries(c, parent)
 			return nil
 		})
 	}
@@ -81,21 +81,21 @@
 	return nil
 }
 
-// parent is the call that planned calls are made for.
-type parent struct {
-	work     *work
+// parentCall is the call that planned calls are made for.
+type parentCall struct {
+	call     *activeCall
 	body     []byte
 	identity Identity
 }
 
-func (b *BackendServer) sendWithRetries(c PlannedCall, in parent) *FailedCall {
+func (b *BackendServer) sendWithRetries(c PlannedCall, parent parentCall) *FailedCall {
 	var f *FailedCall
 	for range b.opt.Retries + 1 {
-		if f = b.send(c, in); f == nil {
+		if f = b.send(c, parent); f == nil {
 			return nil
 		}
 		select {
-		case <-in.work.cancelled:
+		case <-parent.call.cancelled:
 			return f
 		default:
 		}
@@ -103,24 +103,24 @@
 	return f
 }
 
-func (b *BackendServer) send(c PlannedCall, in parent) *FailedCall {
+func (b *BackendServer) send(c PlannedCall, parent parentCall) *FailedCall {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	target := "http://" + b.opt.Node + "/" + c.Service + c.Path
-	if in.identity.Request != "" {
-		target += "?request=" + in.identity.Request
+	if parent.identity.Request != "" {
+		target += "?request=" + parent.identity.Request
 	}
 	req.SetRequestURI(target)
 	req.Header.SetMethod(c.Method)
-	req.Header.Set(headerContext, in.work.context)
-	if len(in.body) > 0 && c.Method != fasthttp.MethodGet {
+	req.Header.Set(headerContext, parent.call.context)
+	if len(parent.body) > 0 && c.Method != fasthttp.MethodGet {
 		req.Header.SetContentType("application/json")
-		req.SetBody(in.body)
+		req.SetBody(parent.body)
 	}
-	deadline := in.work.deadline
+	deadline := parent.call.deadline
 	if deadline.IsZero() {
-		deadline = b.clock.Now().Add(unlimitedCallTimeout)
+		deadline = b.clock.Now().Add(defaultCallTimeout)
 	}
 	if err := b.client.DoDeadline(req, resp, deadline); err != nil {
 		return &FailedCall{Service: c.Service, Problem: err.Error()}
@@ -128,7 +128,7 @@
 	if resp.StatusCode() < 400 {
 		return nil
 	}
-	// The deepest call that failed explains the failure.
+	// Pass on the deepest failed call, which is the cause of the failure.
 	var inner FailedCall
 	if json.Unmarshal(resp.Body(), &inner) == nil && inner.Service != "" {
 		return &inner
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -14,7 +14,7 @@
 	"lovagelane/kernel"
 )
 
-// Row is a row of a table as the table service answers it.
+// Row is a table row as returned by the table service.
 type Row struct {
 	Key      string `json:"key"`
 	Value    string `json:"value"`
@@ -32,17 +32,17 @@
 	Delete    bool    `json:"delete,omitempty"`
 }
 
-// PlatformFaults switches faults on or off; absent fields stay as they are.
+// PlatformFaults sets injected faults; absent fields leave theirs unchanged.
 type PlatformFaults struct {
-	// Down answers every request with 503.
+	// Down makes the store answer every request with 503.
 	Down *bool `json:"down,omitempty"`
-	// DelayMS delays every request before it takes effect.
+	// DelayMS delays every request before it is executed.
 	DelayMS *int64 `json:"delay-ms,omitempty"`
-	// LoseAnswers lets the next n writes take effect and closes their connections without an answer.
+	// LoseAnswers makes the store execute the next n writes and close their connections without an answer.
 	LoseAnswers *int `json:"lose-answers,omitempty"`
 }
 
-// PlatformCounts are the requests that the store carried out.
+// PlatformCounts counts the requests that the store has executed.
 type PlatformCounts struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
@@ -50,7 +50,7 @@
 
 type storedRow struct {
 	Row
-	written time.Time
+	writtenAt time.Time
 }
 
 type table struct {
@@ -58,7 +58,7 @@
 	rows     map[string]*storedRow
 }
 
-// Platform is a table service and an object store in memory.
+// Platform is an in-memory table service and object store.
 type Platform struct {
 	clock kernel.Clock
 
@@ -76,7 +76,7 @@
 	return &Platform{clock: clock, tables: map[string]*table{}, objects: map[string][]byte{}}
 }
 
-// Serve answers requests on ln until the group stops.
+// Serve handles requests on ln until the group stops.
 func (p *Platform) Serve(g *kernel.Group, ln net.Listener) {
 	serve(g, "platform", newServer(p.handle), ln)
 }
@@ -88,7 +88,7 @@
 		return
 	}
 	if parts[0] == "standin" {
-		p.handleSwitches(ctx, parts)
+		p.handleTestControl(ctx, parts)
 		return
 	}
 	p.mu.Lock()
@@ -118,7 +118,8 @@
 	}
 }
 
-// pathParts splits the path before it unescapes the segments, since a key may contain an escaped slash.
+// pathParts returns the unescaped segments of the path. It splits before unescaping, since a key may contain an escaped
+// slash.
 func pathParts(ctx *fasthttp.RequestCtx) ([]string, error) {
 	parts := strings.Split(strings.Trim(string(ctx.URI().PathOriginal()), "/"), "/")
 	for i := range parts {
@@ -131,7 +132,7 @@
 	return parts, nil
 }
 
-func (p *Platform) handleSwitches(ctx *fasthttp.RequestCtx, parts []string) {
+func (p *Platform) handleTestControl(ctx *fasthttp.RequestCtx, parts []string) {
 	switch {
 	case len(parts) == 2 && parts[1] == "counts" && ctx.IsGet():
 		p.mu.Lock()
@@ -150,7 +151,7 @@
 	}
 }
 
-// SetFaults switches faults on or off.
+// SetFaults sets the faults whose fields are present in f.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,7 +176,7 @@
 	}
 	found := r != nil && !r.Deleted
 	if found {
-		row = p.read(r)
+		row = p.rowWithAge(r)
 	}
 	p.mu.Unlock()
 	if !found {
@@ -185,10 +186,10 @@
 	answerJSON(ctx, fasthttp.StatusOK, row)
 }
 
-// read returns the row with its age; the caller holds mu.
-func (p *Platform) read(r *storedRow) Row {
+// rowWithAge returns the row with its current age. p.mu must be held.
+func (p *Platform) rowWithAge(r *storedRow) Row {
 	row := r.Row
-	row.AgeMS = p.clock.Now().Sub(r.written).Milliseconds()
+	row.AgeMS = p.clock.Now().Sub(r.writtenAt).Milliseconds()
 	return row
 }
 
@@ -213,7 +214,7 @@
 		list.Revision = t.revision
 		for _, r := range t.rows {
 			if r.Revision > since {
-				list.Rows = append(list.Rows, p.read(r))
+				list.Rows = append(list.Rows, p.rowWithAge(r))
 			}
 		}
 	}
@@ -243,25 +244,25 @@
 		t = &table{rows: map[string]*storedRow{}}
 		p.tables[tableName] = t
 	}
-	if failed, version, ok := t.check(in.Writes); !ok {
+	if failedKey, version, ok := t.checkConditions(in.Writes); !ok {
 		p.counts.Reads++
 		p.mu.Unlock()
-		answerJSON(ctx, fasthttp.StatusPreconditionFailed, map[string]any{"key": failed, "version": version})
+		answerJSON(ctx, fasthttp.StatusPreconditionFailed, map[string]any{"key": failedKey, "version": version})
 		return
 	}
 	versions := t.apply(in.Writes, p.clock.Now())
 	revision := t.revision
-	lost := p.countWrite()
+	dropAnswer := p.recordWrite()
 	p.mu.Unlock()
-	if lost {
+	if dropAnswer {
 		dropConnection(ctx)
 		return
 	}
 	answerJSON(ctx, fasthttp.StatusOK, map[string]any{"revision": revision, "versions": versions})
 }
 
-// countWrite counts a write that took effect and reports whether its answer is to be lost; the caller holds mu.
-func (p *Platform) countWrite() bool {
+// recordWrite counts an executed write and reports whether its answer must be dropped. p.mu must be held.
+func (p *Platform) recordWrite() bool {
 	p.counts.Writes++
 	if p.loseAnswers == 0 {
 		return false
@@ -277,11 +278,12 @@
 	return 0
 }
 
-// check returns the first write whose condition fails, with the version that the row has.
-func (t *table) check(writes []Write) (string, uint64, bool) {
+// checkConditions returns the key and the current version of the first write whose condition fails, or true if none
+// fails.
+func (t *table) checkConditions(writes []Write) (string, uint64, bool) {
 	for _, w := range writes {
-		if have := t.version(w.Key); w.IfVersion != nil && *w.IfVersion != have {
-			return w.Key, have, false
+		if current := t.version(w.Key); w.IfVersion != nil && *w.IfVersion != current {
+			return w.Key, current, false
 		}
 	}
 	return "", 0, true
@@ -295,7 +297,7 @@
 		if w.Delete {
 			r.Value = ""
 		}
-		t.rows[w.Key] = &storedRow{Row: r, written: now}
+		t.rows[w.Key] = &storedRow{Row: r, writtenAt: now}
 		versions[w.Key] = r.Version
 	}
 	return versions
@@ -305,9 +307,9 @@
 	body := append([]byte(nil), ctx.PostBody()...)
 	p.mu.Lock()
 	p.objects[name] = body
-	lost := p.countWrite()
+	dropAnswer := p.recordWrite()
 	p.mu.Unlock()
-	if lost {
+	if dropAnswer {
 		dropConnection(ctx)
 	}
 }
--- a/standin/profile.go
+++ b/standin/profile.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Profile is the rate of arrivals over time; the steps are in the order of their times.
+// Profile defines the arrival rate over time; the steps are sorted by From.
 type Profile struct{ Steps []Step }
 
-// Step sets the rate, in requests a second, from a time after the start on. With a period it swings: the rate holds for
-// the first half of each period and Low for the second half.
+// Step sets the arrival rate, in requests per second, starting at From after the start of the load. If Period is set, the
+// rate is a square wave: Rate in the first half of each period and Low in the second half.
 type Step struct {
 	From      time.Duration
 	Rate, Low float64
 	Period    time.Duration
 }
 
-// Constant returns a profile with one rate.
+// Constant returns a profile with a constant rate.
 func Constant(rate float64) Profile { return Profile{Steps: []Step{{Rate: rate}}} }
 
-// Rate returns the rate at a time after the start.
+// Rate returns the arrival rate at a time after the start; it is 0 before the first step.
 func (p Profile) Rate(at time.Duration) float64 {
 	rate := 0.0
 	for _, s := range p.Steps {
@@ -35,7 +35,8 @@
 	return rate
 }
 
-// ParseProfile reads steps such as 0s=100,10s=500,20s=500/50:4s; the last one swings between 500 and 50 every 4 s.
+// ParseProfile parses steps such as 0s=100,10s=500,20s=500/50:4s. The last of these alternates between 500 and 50 with a
+// period of 4 s.
 func ParseProfile(text string) (Profile, error) {
 	var p Profile
 	for part := range strings.SplitSeq(text, ",") {
@@ -44,7 +45,7 @@
 			return Profile{}, err
 		}
 		if n := len(p.Steps); n > 0 && s.From <= p.Steps[n-1].From {
-			return Profile{}, Error.New("step %q is out of order: give the steps by rising time", part)
+			return Profile{}, Error.New("step %q is out of order: sort the steps by increasing time", part)
 		}
 		p.Steps = append(p.Steps, s)
 	}
@@ -52,29 +53,29 @@
 }
 
 func parseStep(text string) (Step, error) {
-	bad := Error.New("step %q is malformed: write it as 10s=500 or 10s=500/50:4s", text)
+	malformed := Error.New("step %q is malformed: write it as 10s=500 or 10s=500/50:4s", text)
 	from, rates, ok := strings.Cut(strings.TrimSpace(text), "=")
 	if !ok {
-		return Step{}, bad
+		return Step{}, malformed
 	}
 	var s Step
 	var err error
 	if s.From, err = time.ParseDuration(from); err != nil {
-		return Step{}, bad
+		return Step{}, malformed
 	}
-	high, swing, swings := strings.Cut(rates, "/")
+	high, lowAndPeriod, alternates := strings.Cut(rates, "/")
 	if s.Rate, err = strconv.ParseFloat(high, 64); err != nil {
-		return Step{}, bad
+		return Step{}, malformed
 	}
-	if !swings {
+	if !alternates {
 		return s, nil
 	}
-	low, period, _ := strings.Cut(swing, ":")
+	low, period, _ := strings.Cut(lowAndPeriod, ":")
 	if s.Low, err = strconv.ParseFloat(low, 64); err != nil {
-		return Step{}, bad
+		return Step{}, malformed
 	}
 	if s.Period, err = time.ParseDuration(period); err != nil || s.Period <= 0 {
-		return Step{}, bad
+		return Step{}, malformed
 	}
 	return s, nil
 }
--- a/standin/ran.go
+++ b/standin/ran.go
@@ -10,16 +10,16 @@
 	"github.com/zeebo/errs"
 )
 
-// Identity names a request and, when the request carries one, its order. Both are in the JSON body, or the request is
-// in the query or header, since a backend server cannot rely on the product to pass identities on.
+// Identity identifies a request and, if the request has one, its order. Both ids are fields of the JSON body. The request
+// id may instead be a query parameter or a header, since a backend server cannot rely on the product to pass ids on.
 type Identity struct {
 	Request string `json:"request"`
 	Order   string `json:"order,omitempty"`
 }
 
-// Ran counts how often work was started, which is what must happen at most once for an order.
+// Ran counts the starts of calls. A call for an order must start at most once.
 type Ran struct {
-	// Requests counts starts by path and request id, as in "/orders r17".
+	// Requests counts starts by path and request id; a key is "/orders r17".
 	Requests map[string]int `json:"requests"`
 	// Orders counts starts by path and order id.
 	Orders map[string]int `json:"orders"`
@@ -27,43 +27,43 @@
 	Paths map[string]int `json:"paths"`
 }
 
-// Start is a line of the journal.
+// Start is a line of the journal: the start of one call.
 type Start struct {
 	Identity
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// Send is the header with which a test tells the sends of one request apart.
+	// Send is the value of a header by which tests distinguish the attempts of one request.
 	Send string `json:"send,omitempty"`
 }
 
-type ranLog struct {
-	mu  sync.Mutex
-	ran Ran
-	// journal is a file to which each start is appended before the work begins, so that a killed backend server loses no
-	// start; empty means none.
+type startLog struct {
+	mu     sync.Mutex
+	counts Ran
+	// journal is a file to which each start is appended before the call runs, so that the journal is complete even if the
+	// backend server is killed; empty means none.
 	journal string
 }
 
-func (l *ranLog) add(id Identity, method, path, send string) error {
+func (l *startLog) record(id Identity, method, path, send string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.append(Start{id, method, path, send}); err != nil {
 		return err
 	}
-	if l.ran.Paths == nil {
-		l.ran = Ran{Requests: map[string]int{}, Orders: map[string]int{}, Paths: map[string]int{}}
+	if l.counts.Paths == nil {
+		l.counts = Ran{Requests: map[string]int{}, Orders: map[string]int{}, Paths: map[string]int{}}
 	}
-	l.ran.Paths[method+" "+path]++
+	l.counts.Paths[method+" "+path]++
 	if id.Request != "" {
-		l.ran.Requests[path+" "+id.Request]++
+		l.counts.Requests[path+" "+id.Request]++
 	}
 	if id.Order != "" {
-		l.ran.Orders[path+" "+id.Order]++
+		l.counts.Orders[path+" "+id.Order]++
 	}
 	return nil
 }
 
-func (l *ranLog) append(s Start) error {
+func (l *startLog) append(s Start) error {
 	if l.journal == "" {
 		return nil
 	}
@@ -71,7 +71,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	// Several backend servers append whole lines to one file.
+	// Several backend servers may append to the same file, so each line is one write in append mode.
 	f, err := os.OpenFile(l.journal, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return Error.Wrap(err)
@@ -80,15 +80,15 @@
 	return Error.Wrap(errs.Combine(err, f.Close()))
 }
 
-func (l *ranLog) read() Ran {
+func (l *startLog) snapshot() Ran {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Ran{Requests: maps.Clone(l.ran.Requests), Orders: maps.Clone(l.ran.Orders), Paths: maps.Clone(l.ran.Paths)}
+	return Ran{Requests: maps.Clone(l.counts.Requests), Orders: maps.Clone(l.counts.Orders), Paths: maps.Clone(l.counts.Paths)}
 }
 
-func identify(ctx *fasthttp.RequestCtx) Identity {
+func identityOf(ctx *fasthttp.RequestCtx) Identity {
 	var id Identity
-	// A body that is not JSON names nothing.
+	// A body that is not JSON contains no ids.
 	_ = json.Unmarshal(ctx.PostBody(), &id)
 	if id.Request == "" {
 		id.Request = string(ctx.QueryArgs().Peek("request"))
--- a/standin/result.go
+++ b/standin/result.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// BucketWidth is the width of the buckets of goodput over time.
+	// BucketWidth is the width of the time buckets in which arrivals and answered requests are counted.
 	BucketWidth = 100 * time.Millisecond
 
 	maxLatency      = 10 * time.Minute
@@ -18,42 +18,42 @@
 	reasonQueueFull = "queue-full"
 )
 
-// End is how a request ended for its caller.
-type End int
+// Outcome is the result of a request from the caller's point of view.
+type Outcome int
 
 const (
-	// Answered means that the whole answer came in time.
-	Answered End = iota
-	// Shed means that it was refused under overload.
+	// Answered means that the complete answer arrived within the timeout.
+	Answered Outcome = iota
+	// Shed means that the request was refused because of overload.
 	Shed
-	// Refused means that it was refused for another reason.
+	// Refused means that the request was refused for another reason.
 	Refused
-	// Failed means that it ran and its answer is an error.
+	// Failed means that the request ran and was answered with an error.
 	Failed
-	// Unknown means that it may or may not have run.
+	// Unknown means that the request may or may not have run.
 	Unknown
-	// Late means that no answer came within the caller's timeout.
-	Late
+	// TimedOut means that no answer arrived within the caller's timeout.
+	TimedOut
 )
 
-// Result is the end of one request.
+// Result is the result of one request, including its resends.
 type Result struct {
 	Kind    string
 	Request string
-	End     End
+	Outcome Outcome
 	Reason  string
-	// NotRun means that every send of the request was refused as "not run".
+	// NotRun is set if every send of the request was refused with the outcome "not-run".
 	NotRun bool
-	// Straggler tells that the work behind the answer was drawn to take longer.
+	// Straggler is set if the answered call was randomly selected to take longer.
 	Straggler bool
-	// Sends counts the sends, without the ones that only fetched a ticket.
+	// Sends counts the sends, except those that only obtained a ticket.
 	Sends   int
 	Latency time.Duration
-	// Arrived and Done are the times after the start of the load at which the request arrived and ended.
+	// Arrived and Done are the times, relative to the start of the load, at which the request arrived and finished.
 	Arrived, Done time.Duration
 }
 
-// KindResults add up the results of one kind of request.
+// KindResults aggregates the results of one kind of request.
 type KindResults struct {
 	Kind     string         `json:"kind"`
 	Sent     int            `json:"sent"`
@@ -65,16 +65,16 @@
 	Late     int            `json:"late"`
 	Sends    int            `json:"sends"`
 	Reasons  map[string]int `json:"reasons"`
-	// Goodput counts answered requests by the bucket in which they ended.
+	// Goodput counts answered requests per bucket of their completion time.
 	Goodput []int `json:"goodput"`
-	// Arrived and ArrivedAnswered count requests, and those of them that were answered, by the bucket of their arrival.
+	// Arrived and ArrivedAnswered count all requests and the answered ones per bucket of their arrival time.
 	Arrived         []int `json:"arrived"`
 	ArrivedAnswered []int `json:"arrived-answered"`
 
 	latencies *hdrhistogram.Histogram
 }
 
-// Quantile returns a quantile, in [0, 100], of the latency of answered requests without stragglers.
+// Quantile returns the q-th percentile, with q in [0, 100], of the latency of answered requests that are not stragglers.
 func (k *KindResults) Quantile(q float64) time.Duration {
 	if k.latencies == nil {
 		return 0
@@ -82,7 +82,7 @@
 	return time.Duration(k.latencies.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Share returns the share of the sent requests that were answered.
+// Share returns the fraction of the sent requests that were answered, or 0 if none was sent.
 func (k *KindResults) Share() float64 {
 	if k.Sent == 0 {
 		return 0
@@ -90,16 +90,16 @@
 	return float64(k.Answered) / float64(k.Sent)
 }
 
-// Results add up the results of a load.
+// Results aggregates the results of a load by kind.
 type Results struct {
 	mu    sync.Mutex
 	kinds map[string]*KindResults
 	order []string
-	// notRun holds the results of requests of which every send was refused as "not run".
+	// notRun holds the results of requests whose sends were all refused with the outcome "not-run".
 	notRun []Result
 }
 
-// NewResults returns results for these kinds, in this order.
+// NewResults returns empty results for the given kinds, in this order.
 func NewResults(kinds []string) *Results {
 	r := &Results{kinds: map[string]*KindResults{}}
 	for _, k := range kinds {
@@ -113,24 +113,24 @@
 	return r
 }
 
-// Add adds the end of one request of a kind that the results were made for.
+// Add adds the result of one request. Its kind must be one of those given to NewResults.
 func (r *Results) Add(res Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.kinds[res.Kind]
 	k.Sent++
 	k.Sends += res.Sends
-	count(&k.Arrived, res.Arrived)
+	incrementBucket(&k.Arrived, res.Arrived)
 	if res.Reason != "" {
 		k.Reasons[res.Reason]++
 	}
 	if res.NotRun {
 		r.notRun = append(r.notRun, res)
 	}
-	switch res.End {
+	switch res.Outcome {
 	case Answered:
 		k.Answered++
-		k.addGoodput(res)
+		k.recordAnswered(res)
 	case Shed:
 		k.Shed++
 	case Refused:
@@ -139,24 +139,24 @@
 		k.Failed++
 	case Unknown:
 		k.Unknown++
-	case Late:
+	case TimedOut:
 		k.Late++
 	}
 }
 
-func (k *KindResults) addGoodput(res Result) {
-	count(&k.Goodput, res.Done)
-	count(&k.ArrivedAnswered, res.Arrived)
+func (k *KindResults) recordAnswered(res Result) {
+	incrementBucket(&k.Goodput, res.Done)
+	incrementBucket(&k.ArrivedAnswered, res.Arrived)
 	if res.Straggler {
-		// Latencies are those of ordinary work, so that they show what stragglers do to it.
+		// The latency histogram excludes stragglers, so that it shows their effect on all other requests.
 		return
 	}
-	// A latency beyond the histogram's range cannot occur, since a caller's timeout is far shorter.
+	// The latency is always within the histogram's range, since the caller's timeout is far shorter than maxLatency.
 	_ = k.latencies.RecordValue(max(1, res.Latency.Microseconds()))
 }
 
-// count adds one to the bucket of a time.
-func count(buckets *[]int, at time.Duration) {
+// incrementBucket increments the bucket that contains at.
+func incrementBucket(buckets *[]int, at time.Duration) {
 	i := int(at / BucketWidth)
 	for len(*buckets) <= i {
 		*buckets = append(*buckets, 0)
@@ -164,8 +164,8 @@
 	(*buckets)[i]++
 }
 
-// sum adds up the buckets between two times.
-func sum(buckets []int, from, to time.Duration) int {
+// sumBuckets returns the sum of the buckets between two times.
+func sumBuckets(buckets []int, from, to time.Duration) int {
 	n := 0
 	for i := int(from / BucketWidth); i < int(to/BucketWidth) && i < len(buckets); i++ {
 		n += buckets[i]
@@ -191,33 +191,33 @@
 	return r.kinds[name]
 }
 
-// NotRun returns the results of requests of which every send was refused as "not run".
+// NotRun returns the results of the requests whose sends were all refused with the outcome "not-run".
 func (r *Results) NotRun() []Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.notRun)
 }
 
-// Goodput returns the answered requests a second of all kinds between two times after the start.
+// Goodput returns the rate of answered requests per second of all kinds that finished between two times after the start.
 func (r *Results) Goodput(from, to time.Duration) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for _, k := range r.kinds {
-		n += sum(k.Goodput, from, to)
+		n += sumBuckets(k.Goodput, from, to)
 	}
 	return float64(n) / (to - from).Seconds()
 }
 
-// AnsweredShare returns the share of the requests that arrived between two times which were answered, 1 when none
-// arrived. Unlike the goodput, it does not vary with the randomness of arrivals.
+// AnsweredShare returns the fraction of the requests arriving between two times that were answered, or 1 if none
+// arrived. Unlike the goodput, it does not depend on the random number of arrivals.
 func (r *Results) AnsweredShare(from, to time.Duration) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	arrived, answered := 0, 0
 	for _, k := range r.kinds {
-		arrived += sum(k.Arrived, from, to)
-		answered += sum(k.ArrivedAnswered, from, to)
+		arrived += sumBuckets(k.Arrived, from, to)
+		answered += sumBuckets(k.ArrivedAnswered, from, to)
 	}
 	if arrived == 0 {
 		return 1
--- a/standin/server.go
+++ b/standin/server.go
@@ -18,10 +18,10 @@
 var Error = errs.Class("standin")
 
 const (
-	// idleTimeout is longer than the 15 s after which nodes give up idle connections, so that the server is not the
-	// side that closes them.
-	idleTimeout = time.Minute
-	maxBody     = 16 << 20
+	// idleTimeout exceeds the 15 s after which nodes close idle connections, so that the server is never the side that
+	// closes them.
+	idleTimeout  = time.Minute
+	maxBodyBytes = 16 << 20
 )
 
 func newServer(h fasthttp.RequestHandler) *fasthttp.Server {
@@ -29,7 +29,7 @@
 		Handler:               h,
 		Concurrency:           1 << 20,
 		IdleTimeout:           idleTimeout,
-		MaxRequestBodySize:    maxBody,
+		MaxRequestBodySize:    maxBodyBytes,
 		NoDefaultServerHeader: true,
 		Logger:                log.New(io.Discard, "", 0),
 	}
@@ -42,7 +42,7 @@
 		<-ctx.Done()
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 		defer cancel()
-		// Connections that are still busy after a second end with the process.
+		// Connections still in use after a second stay open until the process exits.
 		_ = srv.ShutdownWithContext(ctx)
 		return nil
 	})
@@ -59,7 +59,7 @@
 	ctx.SetBody(b)
 }
 
-// dropConnection closes the connection without an answer.
+// dropConnection closes the connection without sending a response.
 func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -21,14 +21,15 @@
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
-		// fasthttp keeps one goroutine for its clock and one for the server's date.
+		// fasthttp runs background goroutines that update the server's date, clean up idle workers and close idle client
+		// connections; they may outlive the test.
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*HostClient).connsCleaner"))
 }
 
-// listen starts serve on a free port for the length of the test.
-func listen(t *testing.T, serve func(*kernel.Group, net.Listener)) string {
+// startServer runs serve on a free port until the test ends and returns its base URL.
+func startServer(t *testing.T, serve func(*kernel.Group, net.Listener)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -43,12 +44,12 @@
 
 func send(t *testing.T, method, url, body string, headers ...string) (int, string) {
 	t.Helper()
-	status, answer, err := try(method, url, body, headers...)
+	status, answer, err := trySend(method, url, body, headers...)
 	require.NoError(t, err)
 	return status, answer
 }
 
-func try(method, url, body string, headers ...string) (int, string, error) {
+func trySend(method, url, body string, headers ...string) (int, string, error) {
 	req, err := http.NewRequest(method, url, bytes.NewBufferString(body))
 	if err != nil {
 		return 0, "", err
@@ -65,11 +66,11 @@
 	return resp.StatusCode, string(b), err
 }
 
-// Guards against a store whose conditions are weaker than the product relies on: two operators that change the
-// configuration at the same moment must not both succeed, and a failed transaction must write nothing.
+// Guards against write conditions that are weaker than the product requires: two operators who change the configuration
+// concurrently must not both succeed, and a failed transaction must write nothing.
 func TestPlatformConditions(t *testing.T) {
 	clock := &kernel.ManualClock{}
-	url := listen(t, NewPlatform(clock).Serve)
+	url := startServer(t, NewPlatform(clock).Serve)
 	steps := []struct {
 		name, method, path, body string
 		status                   int
@@ -116,11 +117,12 @@
 	require.Contains(t, got, `"age-ms":1500`)
 }
 
-// Guards against fault switches that hide a fault: a lost answer must have taken effect, and an outage must not.
+// Guards against injected faults with the wrong effect: a write whose answer is lost must be executed, and a write during
+// an outage must not.
 func TestPlatformFaults(t *testing.T) {
-	url := listen(t, NewPlatform(kernel.SystemClock{}).Serve)
+	url := startServer(t, NewPlatform(kernel.SystemClock{}).Serve)
 	send(t, "POST", url+"/standin/faults", `{"lose-answers":1}`)
-	_, _, err := try("POST", url+"/tables/config/transactions", `{"writes":[{"key":"current","value":"a"}]}`)
+	_, _, err := trySend("POST", url+"/tables/config/transactions", `{"writes":[{"key":"current","value":"a"}]}`)
 	require.Error(t, err)
 	status, got := send(t, "GET", url+"/tables/config/rows/current", "")
 	require.Equal(t, 200, status)
@@ -140,24 +142,24 @@
 
 func startBackend(t *testing.T, opt BackendOptions) (*BackendServer, string) {
 	b := NewBackendServer(opt, kernel.SystemClock{})
-	return b, listen(t, b.Serve)
+	return b, startServer(t, b.Serve)
 }
 
-// eventually waits for an event; the bound only ends a test that has failed.
+// eventually waits until f returns true. The timeout is generous, since only a failing test reaches it.
 func eventually(t *testing.T, f func() bool, what string) {
 	t.Helper()
 	require.Eventually(t, f, 10*time.Second, time.Millisecond, what)
 }
 
-// Guards against work that runs beyond the slots, which would make every overload result meaningless, and against a
-// log that counts calls that were cancelled or timed out before they started.
-func TestBackendServerSlotsCancelAndRanLog(t *testing.T) {
+// Guards against more calls in parallel than slots, which would make all overload results meaningless, and against start
+// counts that include calls that were cancelled or timed out before they started.
+func TestBackendServerBoundsCancelsAndCountsCalls(t *testing.T) {
 	b, url := startBackend(t, BackendOptions{Slots: 1, ServiceTime: time.Hour, Fixed: true})
 	g := kernel.NewGroup(context.Background())
 	var statuses [3]atomic.Int64
 	call := func(i int, headers ...string) {
 		g.Go("call", func(context.Context) error {
-			status, _, err := try("POST", url+"/orders", fmt.Sprintf(`{"request":"r%d","order":"o%d"}`, i, i),
+			status, _, err := trySend("POST", url+"/orders", fmt.Sprintf(`{"request":"r%d","order":"o%d"}`, i, i),
 				headers...)
 			statuses[i].Store(int64(status))
 			return err
@@ -180,38 +182,38 @@
 	require.JSONEq(t, `{"requests":{"/orders r0":1},"orders":{"/orders o0":1},"paths":{"POST /orders":1}}`, got)
 }
 
-// Guards against a poisoned request that leaves its backend server alive.
+// Guards against a poisoned request that does not crash the backend server.
 func TestBackendServerCrash(t *testing.T) {
 	var status atomic.Int64
 	_, url := startBackend(t, BackendOptions{Slots: 2, Crash: func(s int) { status.Store(int64(s)) }})
 	send(t, "GET", url+"/maps", "")
 	require.Zero(t, status.Load())
 	send(t, "GET", url+"/maps", "", headerPoison, "yes")
-	require.EqualValues(t, crashStatus, status.Load())
+	require.EqualValues(t, crashExitStatus, status.Load())
 }
 
-// Guards against health that stays good while the backend server drains or starts cold, and load reports without lag.
+// Guards against health checks that succeed during draining or a cold start, and against load reports without lag.
 func TestBackendServerHealthAndLoad(t *testing.T) {
 	clock := &kernel.ManualClock{}
 	b := NewBackendServer(BackendOptions{Slots: 3, ColdStart: time.Second, LoadLag: 3 * time.Second}, clock)
-	url := listen(t, b.Serve)
+	url := startServer(t, b.Serve)
 	health := func() int { s, _ := send(t, "GET", url+"/health", ""); return s }
 	require.Equal(t, 503, health(), "cold")
 	clock.Advance(time.Second)
 	require.Equal(t, 200, health())
-	b.addSample(loadSample{at: clock.Now(), inFlight: 7})
+	b.addLoadSample(loadSample{at: clock.Now(), inFlight: 7})
 	clock.Advance(2 * time.Second)
-	b.addSample(loadSample{at: clock.Now(), inFlight: 9})
-	require.Zero(t, b.load().InFlight, "no sample is old enough")
+	b.addLoadSample(loadSample{at: clock.Now(), inFlight: 9})
+	require.Zero(t, b.loadReport().InFlight, "no sample is old enough")
 	clock.Advance(time.Second)
-	require.Equal(t, LoadReport{InFlight: 7, Slots: 3}, b.load())
+	require.Equal(t, LoadReport{InFlight: 7, Slots: 3}, b.loadReport())
 	send(t, "POST", url+"/standin/faults", `{"drain":true}`)
 	require.Equal(t, 503, health(), "draining")
 	status, _ := send(t, "GET", url+"/maps", "")
 	require.Equal(t, 503, status)
 }
 
-// Guards against a connection table that never fills.
+// Guards against a connection limit that is not enforced: a connection beyond the limit must be reset.
 func TestBackendServerConnections(t *testing.T) {
 	_, url := startBackend(t, BackendOptions{Slots: 2, Connections: 1})
 	send(t, "GET", url+"/health", "")
@@ -224,11 +226,11 @@
 	require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
-// Guards against calls without the context that the backend server was given, against a plan that is not followed and
-// against hidden resends of the client library.
+// Guards against planned calls without the context of the parent call, against missing or unplanned calls, and against
+// retries by the client library itself.
 func TestBackendServerPlannedCalls(t *testing.T) {
 	got := make(chan string, 10)
-	node := listen(t, func(g *kernel.Group, ln net.Listener) {
+	node := startServer(t, func(g *kernel.Group, ln net.Listener) {
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			got <- r.Method + " " + r.URL.Path + " " + r.Header.Get(headerContext)
 			if r.URL.Path == "/payments/pay" {
@@ -241,8 +243,8 @@
 		g.Go("node-close", func(ctx context.Context) error { <-ctx.Done(); return srv.Close() })
 	})
 	_, url := startBackend(t, BackendOptions{Slots: 1, Node: node[len("http://"):], Retries: 1, Calls: []PlannedCall{
-		{On: "/orders", Service: "imagery", Method: "GET", Path: "/photos"},
-		{On: "/orders", Service: "payments", Method: "POST", Path: "/pay"},
+		{ParentPath: "/orders", Service: "imagery", Method: "GET", Path: "/photos"},
+		{ParentPath: "/orders", Service: "payments", Method: "POST", Path: "/pay"},
 	}})
 	status, body := send(t, "POST", url+"/orders", `{"request":"r1","order":"o1"}`, headerContext, "ctx-1")
 	require.Equal(t, 502, status)
@@ -255,11 +257,11 @@
 	require.Equal(t, []string{"GET /imagery/photos ctx-1", "POST /payments/pay ctx-1", "POST /payments/pay ctx-1"}, all)
 }
 
-// Guards against a caller that sorts answers wrongly, skips the ticket handshake, gives up when one address is dead,
-// or accepts the answer to another request.
-func TestCaller(t *testing.T) {
-	node := listen(t, func(g *kernel.Group, ln net.Listener) {
-		srv := &http.Server{Handler: http.HandlerFunc(serveLikeNode)}
+// Guards against a caller that classifies answers incorrectly, sends no ticket when one is required, fails when one
+// address is unreachable, or accepts the answer to another request.
+func TestCallerClassifiesAnswers(t *testing.T) {
+	node := startServer(t, func(g *kernel.Group, ln net.Listener) {
+		srv := &http.Server{Handler: http.HandlerFunc(serveFakeNode)}
 		g.Go("node", func(context.Context) error { _ = srv.Serve(ln); return nil })
 		g.Go("node-close", func(ctx context.Context) error { <-ctx.Done(); return srv.Close() })
 	})
@@ -291,7 +293,7 @@
 	require.InDelta(t, 200, sent, 70)
 }
 
-func serveLikeNode(w http.ResponseWriter, r *http.Request) {
+func serveFakeNode(w http.ResponseWriter, r *http.Request) {
 	refuse := func(status int, outcome, reason string) {
 		w.Header().Set("Lovagelane-Outcome", outcome)
 		w.Header().Set("Lovagelane-Reason", reason)
@@ -324,8 +326,9 @@
 	}
 }
 
-// Guards against a rate profile that is read wrongly, which would make a swing or a step something else than stated.
-func TestProfile(t *testing.T) {
+// Guards against a profile parser that accepts malformed steps, and against wrong rates at a step or within the period of
+// a square wave.
+func TestParseProfile(t *testing.T) {
 	p, err := ParseProfile("0s=100,10s=500/50:4s")
 	require.NoError(t, err)
 	for at, want := range map[time.Duration]float64{0: 100, 9 * time.Second: 100, 10 * time.Second: 500,
