--- a/testbed/bed.go
+++ b/testbed/bed.go
@@ -18,19 +18,19 @@
 	"lovagelane/standin"
 )
 
-// stopGrace is how long a process may take to stop after SIGTERM before it is killed.
-const stopGrace = 8 * time.Second
+// stopTimeout is the time between SIGTERM and SIGKILL for a process that does not exit.
+const stopTimeout = 8 * time.Second
 
-// Options describe a deployment.
+// Options configures a deployment.
 type Options struct {
-	// Bin is the directory with the built programs.
+	// Bin is the directory that contains the built programs.
 	Bin string
-	// NodeSettings are further lines for the settings of each node, such as limiter = none.
+	// NodeSettings are lines added to the section [baselines] of each node's settings, such as limiter = none.
 	NodeSettings []string
-	// NoNodes starts backend servers alone, to measure calls without the product.
+	// NoNodes starts backend servers without nodes, to measure calls without the product.
 	NoNodes bool
-	// SharedBackends puts all nodes of a service beside one backend server, which saves half of the processes when only
-	// the nodes matter.
+	// SharedBackends makes all nodes of a service use one backend server, which saves half of the processes when only
+	// the nodes are tested.
 	SharedBackends bool
 }
 
@@ -39,28 +39,28 @@
 	opt   Options
 	group *kernel.Group
 	dir   string
-	ports ports
+	ports portAllocator
 
 	Platform *Process
 	// Store is the base URL of the platform.
 	Store  string
 	Places []*Place
 
-	// procs holds all processes in the order in which they were started.
+	// procs holds all processes in the order of their start.
 	mu    sync.Mutex
 	procs []*Process
 }
 
-// Place is a backend server with the node beside it.
+// Place is a backend server with its node.
 type Place struct {
 	Service, Zone string
 	Backend, Node *Process
-	// BackendAddress is that of the backend server; the others are those of the node's listeners.
-	BackendAddress                         string
-	Callers, Listen, Calls, Control, Admin string
+	// BackendAddress is the address of the backend server; the other addresses are those of the node's listeners.
+	BackendAddress                                string
+	Callers, BackendListen, Calls, Control, Admin string
 }
 
-// New starts the platform and issues the keys of a new deployment into a temporary directory.
+// New creates a deployment: it issues its keys into a temporary directory and starts the platform.
 func New(ctx context.Context, opt Options) (*Bed, error) {
 	dir, err := os.MkdirTemp("", "lovagelane-testbed-")
 	if err != nil {
@@ -74,17 +74,17 @@
 	return b, nil
 }
 
-// Dir returns the temporary directory with keys, settings and logs.
+// Dir returns the temporary directory that contains keys, settings and logs.
 func (b *Bed) Dir() string { return b.dir }
 
-// Group returns the group that relays of the deployment run in.
+// Group returns the group in which the relays of the deployment run.
 func (b *Bed) Group() *kernel.Group { return b.group }
 
 func (b *Bed) startPlatform(ctx context.Context) error {
 	if err := keys.Issue(b.dir); err != nil {
 		return err
 	}
-	addresses, err := b.ports.take(1)
+	addresses, err := b.ports.allocate(1)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 		return err
 	}
 	return Until(ctx, "platform", func(ctx context.Context) error {
-		return exchange(ctx, "GET", b.Store+"/standin/counts", nil, nil)
+		return exchangeJSON(ctx, "GET", b.Store+"/standin/counts", nil, nil)
 	})
 }
 
@@ -108,7 +108,7 @@
 	return p, nil
 }
 
-// Add starts the backend servers of the services with their nodes; it does not wait until they serve.
+// Add starts the backend servers and nodes of the services without waiting until they serve.
 func (b *Bed) Add(services ...Service) error {
 	for _, s := range services {
 		for _, zone := range s.Zones {
@@ -121,19 +121,20 @@
 }
 
 func (b *Bed) addPlace(s Service, zone string) error {
-	a, err := b.ports.take(6)
+	a, err := b.ports.allocate(6)
 	if err != nil {
 		return err
 	}
-	p := &Place{Service: s.Name, Zone: zone, BackendAddress: a[0], Callers: a[1], Listen: a[2], Calls: a[3], Control: a[4],
+	p := &Place{Service: s.Name, Zone: zone, BackendAddress: a[0], Callers: a[1], BackendListen: a[2], Calls: a[3], Control: a[4],
 		Admin: a[5]}
-	// A place that is added later must not take the files of an earlier one.
+	// The index counts the places added so far, so that a place added later does not overwrite the files of an earlier
+	// one.
 	name := fmt.Sprintf("%s-%d", s.Name, len(b.Of(s.Name)))
-	if first := b.Of(s.Name); b.opt.SharedBackends && len(first) > 0 {
-		p.Backend, p.BackendAddress = first[0].Backend, first[0].BackendAddress
+	if existing := b.Of(s.Name); b.opt.SharedBackends && len(existing) > 0 {
+		p.Backend, p.BackendAddress = existing[0].Backend, existing[0].BackendAddress
 		return b.addNode(name, p)
 	}
-	args := append([]string{"backend-server", "--listen", p.BackendAddress, "--service", s.Name, "--node", p.Listen,
+	args := append([]string{"backend-server", "--listen", p.BackendAddress, "--service", s.Name, "--node", p.BackendListen,
 		"--slots", fmt.Sprint(s.Slots), "--connections", fmt.Sprint(s.Connections),
 		"--seed", fmt.Sprint(len(b.Places) + 1)}, s.Backend...)
 	if p.Backend, err = b.start(name+"-backend", "standin", args...); err != nil {
@@ -152,7 +153,8 @@
 	return nil
 }
 
-// startNode writes the settings of a node, whose seeds are up to three places that were started before it.
+// startNode writes the settings of a node and starts it. Its seeds are the first three places, as far as they have been
+// started.
 func (b *Bed) startNode(name string, p *Place) (*Process, error) {
 	var seeds []string
 	for _, other := range b.Places[:min(3, len(b.Places))] {
@@ -161,7 +163,7 @@
 	file := func(name string) string { return filepath.Join(b.dir, name) }
 	lines := []string{"[node]",
 		"service = " + p.Service, "availability-zone = " + p.Zone, "backend-server = " + p.BackendAddress,
-		"callers-listen = " + p.Callers, "backend-listen = " + p.Listen, "calls-listen = " + p.Calls,
+		"callers-listen = " + p.Callers, "backend-listen = " + p.BackendListen, "calls-listen = " + p.Calls,
 		"control-listen = " + p.Control, "admin-listen = " + p.Admin, "store = " + b.Store,
 	}
 	if len(seeds) > 0 {
@@ -190,7 +192,7 @@
 	return all
 }
 
-// Callers returns the addresses at which the nodes take requests from outside callers.
+// Callers returns the addresses of the nodes' listeners for outside callers.
 func (b *Bed) Callers() []string {
 	var all []string
 	for _, p := range b.Places {
@@ -199,8 +201,8 @@
 	return all
 }
 
-// Apply applies a configuration with the operator's command, which returns when it is in force on every node, and
-// returns what the command printed.
+// Apply applies a configuration with the command lovagelane apply and returns its output. The command returns when the
+// configuration is in force on every node.
 func (b *Bed) Apply(ctx context.Context, inventory, rules string) (string, error) {
 	dir := filepath.Join(b.dir, "configuration")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -219,10 +221,10 @@
 	return string(out), nil
 }
 
-// Up waits until the backend servers are healthy and the nodes answer, before any configuration is applied.
+// Up waits until the backend servers are healthy and the nodes respond. It does not require a configuration in force.
 func (b *Bed) Up(ctx context.Context) error {
 	for _, p := range b.Places {
-		if err := Until(ctx, "backend server of "+p.Service, p.healthy); err != nil {
+		if err := Until(ctx, "backend server of "+p.Service, p.checkHealthy); err != nil {
 			return err
 		}
 		if p.Node == nil {
@@ -239,11 +241,11 @@
 	return nil
 }
 
-// Ready waits until each node has the configuration version in force and sees all backend servers serving.
+// Ready waits until on each node the configuration version is in force and all other nodes are listed as serving.
 func (b *Bed) Ready(ctx context.Context, version uint64) error {
 	for _, p := range b.Places {
 		err := Until(ctx, "node of "+p.Service, func(ctx context.Context) error {
-			return p.ready(ctx, version, len(b.Places))
+			return p.checkReady(ctx, version, len(b.Places))
 		})
 		if err != nil {
 			return err
@@ -252,37 +254,37 @@
 	return nil
 }
 
-func (p *Place) healthy(ctx context.Context) error {
+func (p *Place) checkHealthy(ctx context.Context) error {
 	if !p.Backend.Running() {
-		return endedError{p.Backend.Name, p.Backend.log}
+		return processExitedError{p.Backend.Name, p.Backend.log}
 	}
-	return exchange(ctx, "GET", "http://"+p.BackendAddress+"/health", nil, nil)
+	return exchangeJSON(ctx, "GET", "http://"+p.BackendAddress+"/health", nil, nil)
 }
 
-// Status returns what the node tells operators.
+// Status returns the node's status from its admin listener.
 func (p *Place) Status(ctx context.Context) (node.Status, error) {
 	var s node.Status
 	if !p.Node.Running() {
-		return s, endedError{p.Node.Name, p.Node.log}
+		return s, processExitedError{p.Node.Name, p.Node.log}
 	}
-	err := exchange(ctx, "GET", "http://"+p.Admin+"/status", nil, &s)
+	err := exchangeJSON(ctx, "GET", "http://"+p.Admin+"/status", nil, &s)
 	return s, err
 }
 
-func (p *Place) ready(ctx context.Context, version uint64, places int) error {
+func (p *Place) checkReady(ctx context.Context, version uint64, places int) error {
 	s, err := p.Status(ctx)
 	if err != nil {
 		return err
 	}
 	serving := 0
-	var others []string
+	var notServing []string
 	for _, m := range s.Members {
 		switch {
 		case m.ID == s.Member.ID:
 		case m.State == membership.StateServing && !m.Suspected:
 			serving++
 		default:
-			others = append(others, fmt.Sprintf("%s in %s %s suspected=%t", m.Service, m.AvailabilityZone, m.State, m.Suspected))
+			notServing = append(notServing, fmt.Sprintf("%s in %s %s suspected=%t", m.Service, m.AvailabilityZone, m.State, m.Suspected))
 		}
 	}
 	switch {
@@ -291,92 +293,92 @@
 	case !s.BackendServerUp:
 		return Error.New("the backend server is not up")
 	case serving < places-1:
-		return Error.New("the node sees %d of %d other nodes serving, and %v", serving, places-1, others)
+		return Error.New("the node lists %d of %d other nodes as serving; not serving or suspected: %v", serving, places-1, notServing)
 	}
 	return nil
 }
 
-// SetFaults switches faults of the backend server.
+// SetFaults sets injected faults of the backend server.
 func (p *Place) SetFaults(ctx context.Context, f standin.BackendFaults) error {
-	return exchange(ctx, "POST", "http://"+p.BackendAddress+"/standin/faults", f, nil)
+	return exchangeJSON(ctx, "POST", "http://"+p.BackendAddress+"/standin/faults", f, nil)
 }
 
-// Ran returns what the backend server has run.
+// Ran returns the counts of the calls that the backend server has started.
 func (p *Place) Ran(ctx context.Context) (standin.Ran, error) {
 	var r standin.Ran
-	err := exchange(ctx, "GET", "http://"+p.BackendAddress+"/standin/ran", nil, &r)
+	err := exchangeJSON(ctx, "GET", "http://"+p.BackendAddress+"/standin/ran", nil, &r)
 	return r, err
 }
 
-// SetPlatformFaults switches faults of the platform.
+// SetPlatformFaults sets injected faults of the platform.
 func (b *Bed) SetPlatformFaults(ctx context.Context, f standin.PlatformFaults) error {
-	return exchange(ctx, "POST", b.Store+"/standin/faults", f, nil)
+	return exchangeJSON(ctx, "POST", b.Store+"/standin/faults", f, nil)
 }
 
-// PlatformCounts returns the reads and writes that the platform has carried out.
+// PlatformCounts returns the numbers of reads and writes that the platform has executed.
 func (b *Bed) PlatformCounts(ctx context.Context) (standin.PlatformCounts, error) {
 	var c standin.PlatformCounts
-	err := exchange(ctx, "GET", b.Store+"/standin/counts", nil, &c)
+	err := exchangeJSON(ctx, "GET", b.Store+"/standin/counts", nil, &c)
 	return c, err
 }
 
-// Metrics returns the metrics of the place's node as they are served.
+// Metrics returns the metrics that the node serves under /debug/vars.
 func (p *Place) Metrics(ctx context.Context) (map[string]any, error) {
 	var m map[string]any
-	err := exchange(ctx, "GET", "http://"+p.Admin+"/debug/vars", nil, &m)
+	err := exchangeJSON(ctx, "GET", "http://"+p.Admin+"/debug/vars", nil, &m)
 	return m, err
 }
 
-// Ended tells how a deployment stopped.
+// Ended is the result of stopping a deployment.
 type Ended struct {
 	// Processes is the number of processes that were started.
 	Processes int
-	// Killed are the processes that did not stop by themselves, Failed those that had an exit status other than 0.
+	// Killed lists the processes that did not exit within stopTimeout, Failed those whose exit status is not 0.
 	Killed, Failed []string
-	// Running are the processes that could not be ended.
+	// Running lists the processes that could not be killed.
 	Running []string
 }
 
-// Stop stops all processes in the reverse order of their start and waits for their ends. Nodes stop before backend
-// servers, all nodes at once.
+// Stop stops all processes and waits until they have exited. It stops the nodes first, then the backend servers, then
+// the platform; the processes of each kind stop concurrently.
 func (b *Bed) Stop() Ended {
 	b.mu.Lock()
 	procs := slices.Clone(b.procs)
 	b.mu.Unlock()
-	ended := Ended{Processes: len(procs)}
+	result := Ended{Processes: len(procs)}
 	var mu sync.Mutex
-	stop := func(some []*Process) {
+	stop := func(batch []*Process) {
 		g := kernel.NewGroup(context.Background())
-		for _, p := range some {
+		for _, p := range batch {
 			wasRunning := p.Running()
 			g.Go("stop-"+p.Name, func(context.Context) error {
-				killed, _ := p.stop(stopGrace)
+				killed, _ := p.stop(stopTimeout)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case p.Running():
-					ended.Running = append(ended.Running, p.Name)
+					result.Running = append(result.Running, p.Name)
 				case killed:
-					ended.Killed = append(ended.Killed, p.Name)
+					result.Killed = append(result.Killed, p.Name)
 				case wasRunning && p.ExitCode() != 0:
-					ended.Failed = append(ended.Failed, p.Name)
+					result.Failed = append(result.Failed, p.Name)
 				}
 				return nil
 			})
 		}
 		_ = g.Wait()
 	}
-	for _, kind := range []string{"-node", "-backend", "platform"} {
-		var some []*Process
+	for _, suffix := range []string{"-node", "-backend", "platform"} {
+		var batch []*Process
 		for _, p := range procs {
-			if strings.HasSuffix(p.Name, kind) {
-				some = append(some, p)
+			if strings.HasSuffix(p.Name, suffix) {
+				batch = append(batch, p)
 			}
 		}
-		stop(some)
+		stop(batch)
 	}
 	_ = b.group.Stop()
-	return ended
+	return result
 }
 
 // Remove deletes the temporary directory; call it after Stop.
--- a/testbed/config.go
+++ b/testbed/config.go
@@ -10,12 +10,12 @@
 // Service describes a service of the deployment with its backend servers.
 type Service struct {
 	Name string
-	// Zones are the availability zones of its backend servers; one that is named twice gets two of them.
+	// Zones lists the availability zone of each backend server; a zone listed twice gets two backend servers.
 	Zones              []string
 	Slots, Connections int
 	Timeout            time.Duration
 	Calls              []string
-	// Backend holds flags of the stand-in backend servers, such as --service-time=10ms.
+	// Backend holds additional flags of the stand-in backend servers, such as --service-time=10ms.
 	Backend []string
 }
 
@@ -27,7 +27,7 @@
 	return zone
 }
 
-// Inventory returns the text of inventory.ini for the services; the first region has the store.
+// Inventory returns the text of inventory.ini for the services. The store is in the first region.
 func Inventory(services []Service) string {
 	var b strings.Builder
 	var zones []string
--- a/testbed/doc.go
+++ b/testbed/doc.go
@@ -1,4 +1,4 @@
-// Package testbed runs a deployment of real processes on loopback for the demo, the benchmarks and failure tests: it
-// starts, kills, freezes and resumes them, waits until they are ready and cuts connections. It ends only processes that
-// it started, by process id.
+// Package testbed runs a deployment of real processes on loopback for the demo, the benchmarks and the failure tests. It
+// starts, kills, pauses and resumes processes, waits until they are ready and breaks connections. It signals only
+// processes that it started, by process id.
 package testbed
--- a/testbed/http.go
+++ b/testbed/http.go
@@ -15,11 +15,11 @@
 	requestTimeout = 5 * time.Second
 )
 
-// client keeps no connections, since the processes that it asks are killed and frozen.
+// client does not reuse connections, since the processes that it sends requests to are killed and paused.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: requestTimeout}
 
-// exchange sends in as JSON, unless it is nil, and reads the answer into out, unless that is nil.
-func exchange(ctx context.Context, method, url string, in, out any) error {
+// exchangeJSON sends in as JSON unless it is nil, and decodes the response into out unless that is nil.
+func exchangeJSON(ctx context.Context, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
@@ -50,34 +50,34 @@
 	return Error.Wrap(json.Unmarshal(b, out))
 }
 
-// endedError says that a process ended, so that waiting for it is no use.
-type endedError struct{ process, log string }
+// processExitedError reports that a process has exited, so that polling it cannot succeed.
+type processExitedError struct{ process, log string }
 
-func (e endedError) Error() string {
-	return "process " + e.process + " has ended, see " + e.log
+func (e processExitedError) Error() string {
+	return "process " + e.process + " has exited, see " + e.log
 }
 
-// Until polls f until it returns nil, and returns its last error when ctx ends first or a process has ended.
+// Until polls f until it returns nil. It returns the last error of f if ctx is done first or a process has exited.
 func Until(ctx context.Context, what string, f func(context.Context) error) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	var last error
+	var lastErr error
 	for {
 		err := f(ctx)
 		if err == nil {
 			return nil
 		}
-		if last == nil || ctx.Err() == nil {
-			// A poll that the end of ctx cut off says nothing about what is awaited.
-			last = err
+		if lastErr == nil || ctx.Err() == nil {
+			// Keep the previous error if ctx interrupted this poll, since that error shows what the condition lacks.
+			lastErr = err
 		}
-		var ended endedError
-		if errors.As(err, &ended) {
+		var exited processExitedError
+		if errors.As(err, &exited) {
 			return Error.Wrap(err)
 		}
 		select {
 		case <-ctx.Done():
-			return Error.New("%s: %v", what, last)
+			return Error.New("%s: %v", what, lastErr)
 		case <-ticker.C:
 		}
 	}
--- a/testbed/ports.go
+++ b/testbed/ports.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// The range lies below the ports that the system gives to outgoing connections, so that a process that starts again
-	// finds its port free.
-	firstPort = 12000
-	lastPort  = 32000
-	portTries = 5000
+	// The range lies below the system's ephemeral ports, so that no outgoing connection occupies the port of a process
+	// that is restarted.
+	firstPort    = 12000
+	lastPort     = 32000
+	maxPortTries = 5000
 )
 
-// ports gives loopback addresses. It gives none twice, since a process may not have opened its listeners yet when the
-// addresses of the next one are chosen.
-type ports struct{ taken kernel.Set[string] }
+// portAllocator allocates loopback addresses. It never returns an address twice, since a process may not have opened its
+// listeners yet when the addresses of the next one are allocated.
+type portAllocator struct{ allocated kernel.Set[string] }
 
-// reserved keeps the locks on the ports that this process has given, until it ends.
-var reserved struct {
+// portLocks holds the locked files of the ports that this process has allocated. They stay locked until it exits.
+var portLocks struct {
 	mu    sync.Mutex
 	files []*os.File
 }
 
-// reserve takes a lock on a port that other testbeds on this machine respect. Without it, two of them could choose the same
-// port before either has opened its listener.
-func reserve(port int) (bool, error) {
+// lockPort takes the lock of a port, which all testbeds on this machine share, and reports whether it got the lock. Without
+// the lock, two testbeds could allocate the same port before either has opened its listener.
+func lockPort(port int) (bool, error) {
 	dir := filepath.Join(os.TempDir(), "lovagelane-ports")
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return false, Error.Wrap(err)
@@ -46,47 +46,47 @@
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return false, Error.Wrap(f.Close())
 	}
-	reserved.mu.Lock()
-	defer reserved.mu.Unlock()
-	reserved.files = append(reserved.files, f)
+	portLocks.mu.Lock()
+	defer portLocks.mu.Unlock()
+	portLocks.files = append(portLocks.files, f)
 	return true, nil
 }
 
-// Addresses returns n loopback addresses that no other testbed on this machine is given.
+// Addresses allocates n loopback addresses that no other testbed on this machine uses.
 func Addresses(n int) ([]string, error) {
-	var p ports
-	return p.take(n)
+	var p portAllocator
+	return p.allocate(n)
 }
 
-// take returns n addresses whose ports are free for TCP and UDP.
-func (p *ports) take(n int) ([]string, error) {
-	if p.taken == nil {
-		p.taken = kernel.Set[string]{}
+// allocate returns n addresses whose ports are free for TCP and UDP.
+func (p *portAllocator) allocate(n int) ([]string, error) {
+	if p.allocated == nil {
+		p.allocated = kernel.Set[string]{}
 	}
 	var addresses []string
-	// Testbeds that run at the same time must not try the same ports, so the source is not seeded.
-	for range portTries {
+	// The random source has no fixed seed, so that concurrent testbeds do not try the same ports.
+	for range maxPortTries {
 		if len(addresses) == n {
 			return addresses, nil
 		}
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
-		if p.taken.Has(address) || !free(address) {
+		if p.allocated.Has(address) || !isFree(address) {
 			continue
 		}
-		ok, err := reserve(port)
+		ok, err := lockPort(port)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
-			p.taken[address] = struct{}{}
+			p.allocated[address] = struct{}{}
 			addresses = append(addresses, address)
 		}
 	}
-	return nil, Error.New("found %d free ports of %d: end other programs that listen on loopback", len(addresses), n)
+	return nil, Error.New("found only %d of %d free ports: stop other programs that listen on loopback", len(addresses), n)
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
--- a/testbed/ports_test.go
+++ b/testbed/ports_test.go
@@ -12,13 +12,13 @@
 	"lovagelane/kernel"
 )
 
-// Guards against two testbeds that are given the same port before either has opened its listener: a process of one of them
-// then ends with "address already in use".
+// Guards against two concurrent testbeds that allocate the same port before either has opened its listener: a process of
+// one of them then fails with "address already in use".
 func TestPortsAreReservedAcrossProcesses(t *testing.T) {
 	if port := os.Getenv("TESTBED_RESERVE"); port != "" {
 		n, err := strconv.Atoi(port)
 		require.NoError(t, err)
-		ok, err := reserve(n)
+		ok, err := lockPort(n)
 		require.NoError(t, err)
 		t.Logf("reserved %v", ok)
 		return
--- a/testbed/process.go
+++ b/testbed/process.go
@@ -14,10 +14,10 @@
 	"lovagelane/kernel"
 )
 
-// Error is the class of errors of a deployment that cannot be run.
+// Error is the class of all errors of the testbed.
 var Error = errs.Class("testbed")
 
-// Process is one process of the deployment; it can be started again after it ended.
+// Process is a process of the deployment. It can be restarted after it has exited.
 type Process struct {
 	Name string
 
@@ -26,17 +26,17 @@
 	args  []string
 	log   string
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{}
 }
 
-// NewProcess describes a process without starting it; its output is appended to NAME.log in dir.
+// NewProcess returns a process that has not been started. Its output is appended to NAME.log in dir.
 func NewProcess(g *kernel.Group, name, dir, bin string, args ...string) *Process {
 	return &Process{Name: name, group: g, bin: bin, args: args, log: filepath.Join(dir, name+".log")}
 }
 
-// Start starts the process unless it runs.
+// Start starts the process unless it is running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,18 +50,18 @@
 	defer out.Close()
 	cmd := exec.Command(p.bin, p.args...)
 	cmd.Stdout, cmd.Stderr = out, out
-	// A group of its own keeps Ctrl-C away from it, so that the testbed stops processes in its order. The death signal
-	// ends it when the testbed's own process is killed.
+	// With its own process group, the process does not receive SIGINT on Ctrl-C, so that the testbed controls the order in
+	// which processes stop. Pdeathsig kills the process if the testbed's own process is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return Error.New("start %s: %v: run make build first", p.Name, err)
 	}
-	ended := make(chan struct{})
-	p.cmd, p.ended = cmd, ended
+	exited := make(chan struct{})
+	p.cmd, p.exited = cmd, exited
 	p.group.Go("wait-"+p.Name, func(context.Context) error {
-		// The exit status is read from the process state; a killed process is no failure of the testbed.
+		// The error is ignored, since a killed process is not an error of the testbed. ExitCode returns the exit status.
 		_ = cmd.Wait()
-		close(ended)
+		close(exited)
 		return nil
 	})
 	return nil
@@ -72,21 +72,21 @@
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// Running reports whether the process was started and has not ended.
+// Running reports whether the process was started and has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.running()
 }
 
-// PID returns the process id of the latest start, or 0 before the first.
+// PID returns the process id of the latest start, or 0 if the process was never started.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +96,8 @@
 	return p.cmd.Process.Pid
 }
 
-// ExitCode returns the exit status of the latest run, or -1 while it runs or when a signal ended it.
+// ExitCode returns the exit status of the latest run, or -1 if the process is running, was terminated by a signal or was
+// never started.
 func (p *Process) ExitCode() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +107,7 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Kill ends the process with SIGKILL and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() error {
 	err := p.signal(syscall.SIGKILL)
 	p.Wait(context.Background())
@@ -116,13 +117,13 @@
 // Freeze pauses the process with SIGSTOP.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Resume continues a frozen process.
+// Resume continues a paused process with SIGCONT.
 func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
-// Hangup tells the process that its settings may have changed.
+// Hangup sends SIGHUP, which makes the process reload its settings.
 func (p *Process) Hangup() error { return p.signal(syscall.SIGHUP) }
 
-// Terminate asks the process to stop, also when it is frozen.
+// Terminate sends SIGTERM, followed by SIGCONT so that a paused process handles it.
 func (p *Process) Terminate() error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
@@ -130,23 +131,24 @@
 	return p.signal(syscall.SIGCONT)
 }
 
-// Wait waits for the end of the process and reports false when ctx ended first.
+// Wait waits until the process has exited. It returns false if ctx is done first.
 func (p *Process) Wait(ctx context.Context) bool {
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return true
 	}
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// signal sends through the handle of the started process, which never reaches another process that got the same id.
+// signal sends a signal through the handle of the started process, so that it never reaches another process that reuses
+// the process id.
 func (p *Process) signal(s os.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,12 +161,12 @@
 	return nil
 }
 
-// stop terminates the process and kills it when it has not ended within grace; it reports whether it had to be killed.
-func (p *Process) stop(grace time.Duration) (killed bool, err error) {
+// stop terminates the process and kills it if it has not exited within timeout. It reports whether it killed the process.
+func (p *Process) stop(timeout time.Duration) (killed bool, err error) {
 	if err := p.Terminate(); err != nil {
 		return false, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), grace)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if p.Wait(ctx) {
 		return false, nil
--- a/testbed/relay.go
+++ b/testbed/relay.go
@@ -9,37 +9,38 @@
 	"lovagelane/kernel"
 )
 
-// Relay passes TCP connections on to a target and can make the open ones silent or cut them.
+// Relay is a TCP proxy for fault injection: it forwards connections to a target and can stall, delay, refuse or close
+// them.
 type Relay struct {
 	group  *kernel.Group
 	ln     net.Listener
 	target string
 
 	mu    sync.Mutex
-	links kernel.Set[*link]
-	// refuse closes new connections at once.
+	conns kernel.Set[*relayedConn]
+	// refuse makes the relay close new connections immediately.
 	refuse bool
-	// delay is added to each piece that is passed on.
+	// delay is the time by which each chunk of data is delayed.
 	delay time.Duration
 }
 
-// link is one relayed connection.
-type link struct {
-	r       *Relay
-	in, out net.Conn
-	silent  chan struct{}
-	once    sync.Once
-	ended   chan struct{}
-	end     sync.Once
+// relayedConn is a pair of connections, from the client and to the target, between which data is forwarded.
+type relayedConn struct {
+	r              *Relay
+	client, server net.Conn
+	silenced       chan struct{}
+	silenceOnce    sync.Once
+	closed         chan struct{}
+	closeOnce      sync.Once
 }
 
-// NewRelay listens on a free loopback port and relays to target until the group stops.
+// NewRelay listens on a free loopback port and forwards connections to target until the group stops.
 func NewRelay(g *kernel.Group, target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	r := &Relay{group: g, ln: ln, target: target, links: kernel.Set[*link]{}}
+	r := &Relay{group: g, ln: ln, target: target, conns: kernel.Set[*relayedConn]{}}
 	g.Go("relay-close", func(ctx context.Context) error {
 		<-ctx.Done()
 		_ = ln.Close()
@@ -53,60 +54,60 @@
 // Address returns the address that the relay listens on.
 func (r *Relay) Address() string { return r.ln.Addr().String() }
 
-// Silence stops all progress on the open connections for good, without closing them; new ones work.
+// Silence permanently stops forwarding on the open connections without closing them. New connections are not affected.
 func (r *Relay) Silence() {
-	for _, l := range r.open() {
-		l.once.Do(func() { close(l.silent) })
+	for _, c := range r.openConns() {
+		c.silenceOnce.Do(func() { close(c.silenced) })
 	}
 }
 
 // Cut closes the open connections.
 func (r *Relay) Cut() {
-	for _, l := range r.open() {
-		l.close()
+	for _, c := range r.openConns() {
+		c.close()
 	}
 }
 
-// Redirect makes new connections go to another target.
+// Redirect changes the target of new connections.
 func (r *Relay) Redirect(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = target
 }
 
-// Refuse makes new connections fail, or work again.
+// Refuse sets whether new connections are closed immediately.
 func (r *Relay) Refuse(refuse bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refuse = refuse
 }
 
-// Delay holds each piece back for a time, in both directions.
+// Delay sets the delay of each chunk of data, in both directions.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-func (r *Relay) delayed() time.Duration {
+func (r *Relay) currentDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.delay
 }
 
-func (r *Relay) open() []*link {
+func (r *Relay) openConns() []*relayedConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var all []*link
-	for l := range r.links {
-		all = append(all, l)
+	var all []*relayedConn
+	for c := range r.conns {
+		all = append(all, c)
 	}
 	return all
 }
 
 func (r *Relay) accept(ctx context.Context) error {
 	for {
-		in, err := r.ln.Accept()
+		client, err := r.ln.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -114,63 +115,64 @@
 			return Error.Wrap(err)
 		}
 		r.group.Go("relay-link", func(ctx context.Context) error {
-			r.run(ctx, in)
+			r.relay(ctx, client)
 			return nil
 		})
 	}
 }
 
-func (r *Relay) run(ctx context.Context, in net.Conn) {
+func (r *Relay) relay(ctx context.Context, client net.Conn) {
 	r.mu.Lock()
 	refuse, target := r.refuse, r.target
 	r.mu.Unlock()
-	out, err := net.Dial("tcp", target)
+	server, err := net.Dial("tcp", target)
 	if err != nil || refuse {
-		_ = in.Close()
-		if out != nil {
-			_ = out.Close()
+		_ = client.Close()
+		if server != nil {
+			_ = server.Close()
 		}
 		return
 	}
-	l := &link{r: r, in: in, out: out, silent: make(chan struct{}), ended: make(chan struct{})}
+	c := &relayedConn{r: r, client: client, server: server, silenced: make(chan struct{}), closed: make(chan struct{})}
 	r.mu.Lock()
-	r.links[l] = struct{}{}
+	r.conns[c] = struct{}{}
 	r.mu.Unlock()
-	// A relay that was stopped meanwhile has cut its links already.
+	// If the relay has been stopped in the meantime, Cut may have run before this connection was added.
 	if ctx.Err() != nil {
-		l.close()
+		c.close()
 	}
 	r.group.Go("relay-back", func(context.Context) error {
-		l.copy(l.in, l.out)
+		c.copy(c.client, c.server)
 		return nil
 	})
-	l.copy(l.out, l.in)
+	c.copy(c.server, c.client)
 	r.mu.Lock()
-	delete(r.links, l)
+	delete(r.conns, c)
 	r.mu.Unlock()
 }
 
-func (l *link) close() {
-	l.end.Do(func() {
-		close(l.ended)
-		_ = l.in.Close()
-		_ = l.out.Close()
+func (c *relayedConn) close() {
+	c.closeOnce.Do(func() {
+		close(c.closed)
+		_ = c.client.Close()
+		_ = c.server.Close()
 	})
 }
 
-// copy passes bytes on until an end closes or the link is cut; a silent link drops what it has read and reads no more.
-func (l *link) copy(dst, src net.Conn) {
-	defer l.close()
+// copy forwards data until either connection is closed. After Silence, it discards the data of the pending read and reads
+// no more.
+func (c *relayedConn) copy(dst, src net.Conn) {
+	defer c.close()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
 		select {
-		case <-l.silent:
-			<-l.ended
+		case <-c.silenced:
+			<-c.closed
 			return
 		default:
 		}
-		if d := l.r.delayed(); d > 0 {
+		if d := c.r.currentDelay(); d > 0 {
 			time.Sleep(d)
 		}
 		if n > 0 {
--- a/testbed/testbed_test.go
+++ b/testbed/testbed_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv("TESTBED_CHILD") == "yes" {
-		// The child waits for the signal that ends it.
+		// The child process runs until a signal terminates it.
 		time.Sleep(time.Hour)
 	}
 	goleak.VerifyTestMain(m)
@@ -32,24 +32,24 @@
 	return p
 }
 
-// state returns the state letter of a process as the system tells it.
-func state(t *testing.T, p *Process) string {
+// processState returns the state letter of a process from /proc/PID/stat.
+func processState(t *testing.T, p *Process) string {
 	b, err := os.ReadFile("/proc/" + strconv.Itoa(p.PID()) + "/stat")
 	require.NoError(t, err)
 	_, fields, _ := strings.Cut(string(b), ") ")
 	return fields[:1]
 }
 
-// Guards against failure tests that test nothing: a kill that leaves the process alive, a freeze that lets it run, a
-// stop that hangs on a frozen process.
+// Guards against process control without effect, which would make failure tests meaningless: a kill that leaves the
+// process alive, a pause that does not stop it, or a stop that hangs on a paused process.
 func TestProcess(t *testing.T) {
 	g := kernel.NewGroup(context.Background())
 	p := startChild(t, g)
 	require.True(t, p.Running())
 	require.NoError(t, p.Freeze())
-	require.Eventually(t, func() bool { return state(t, p) == "T" }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return processState(t, p) == "T" }, 10*time.Second, time.Millisecond)
 	require.NoError(t, p.Resume())
-	require.Eventually(t, func() bool { return state(t, p) != "T" }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return processState(t, p) != "T" }, 10*time.Second, time.Millisecond)
 	require.NoError(t, p.Freeze())
 	killed, err := p.stop(10 * time.Second)
 	require.NoError(t, err)
@@ -65,7 +65,8 @@
 	require.NoError(t, g.Stop())
 }
 
-// Guards against a relay that closes a connection which is to go silent, or that silences new ones too.
+// Guards against a Silence that closes the open connections or also affects new ones, and against a Cut that leaves
+// connections open.
 func TestRelay(t *testing.T) {
 	g := kernel.NewGroup(context.Background())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -119,7 +120,7 @@
 	require.NoError(t, g.Stop())
 }
 
-// Guards against deployments whose inventory the product rejects.
+// Guards against an inventory that the product rejects.
 func TestInventory(t *testing.T) {
 	text := Inventory([]Service{
 		{Name: "maps", Zones: []string{"rn-1", "rn-1", "ce-1"}, Slots: 4, Connections: 100, Timeout: time.Second,
