--- a/failure/body_test.go
+++ b/failure/body_test.go
@@ -14,17 +14,17 @@
 	"lovagelane/testbed"
 )
 
-// Guards against a caller that gets a part of its answer, or the answer to another request, when answers are late or
-// several hundred KB long.
-func TestEachCallerGetsItsOwnWholeAnswer(t *testing.T) {
+// Guards against a caller that gets a truncated answer, or the answer to another request, when answers are slow or several
+// hundred KB long.
+func TestCallersGetTheirOwnCompleteAnswers(t *testing.T) {
 	const seed, callers, requests = 5, 16, 40
 	services := []testbed.Service{orderServices("5ms")[1]}
 	services[0].Zones = []string{"rn-1", "rn-2", "rn-1"}
 	services[0].Calls, services[0].Slots = nil, 16
 	services[0].Backend = []string{"--service-time", "5ms", "--echo", "--straggler-share", "0.05", "--straggler-factor", "20"}
 	services[0].Timeout = sendTimeout
-	w := start(t, "[class reads]\nrank = 1\ndefault = yes\n", services...)
-	require.NoError(t, w.Places[0].SetFaults(w.ctx, standin.BackendFaults{SlowFactor: pointer(10.0)}))
+	cl := newCluster(t, "[class reads]\nrank = 1\ndefault = yes\n", services...)
+	require.NoError(t, cl.Places[0].SetFaults(cl.ctx, standin.BackendFaults{SlowFactor: pointer(10.0)}))
 	var g errgroup.Group
 	for c := range callers {
 		g.Go(func() error {
@@ -35,7 +35,7 @@
 					size = 200_000 + r.IntN(300_000)
 				}
 				body := bytes.Repeat(fmt.Appendf(nil, "%d/%d ", c, i), size/6+1)
-				a := send(w.ctx, w.Places[r.IntN(len(w.Places))].Callers, "PUT", "/nursery/photographs", body)
+				a := send(cl.ctx, cl.Places[r.IntN(len(cl.Places))].Callers, "PUT", "/nursery/photographs", body)
 				if a.err != nil || a.status != http.StatusOK {
 					return fmt.Errorf("caller %d, request %d of %d bytes: %d %s %s %w", c, i, len(body), a.status, a.outcome, a.reason, a.err)
 				}
--- a/failure/doc.go
+++ b/failure/doc.go
@@ -1,3 +1,3 @@
-// Package failure holds only tests. They kill, freeze and cut real processes of a small deployment and check what
-// docs/design.md promises in section 2. docs/PROOFS.md lists each promise and fault with its test.
+// Package failure contains only tests. They run a small deployment of real processes, kill and freeze them, inject faults,
+// and check the guarantees in section 2 of docs/design.md. docs/PROOFS.md lists the test of each guarantee and fault.
 package failure
--- a/failure/drain_test.go
+++ b/failure/drain_test.go
@@ -20,19 +20,19 @@
 	"lovagelane/testbed"
 )
 
-// drainCallers is the number of callers that each have one request under way.
+// drainCallers is the number of callers, each of which has one request in flight.
 const drainCallers = 24
 
-// steady offers reads and orders from callers that keep to the protocol: they take addresses from a node's list and go
-// elsewhere when a node is draining. Each request must run and be answered.
-type steady struct {
-	w       *world
-	list    *testbed.Place
-	answers atomic.Int64
+// drainLoad sends reads and orders from callers that follow the protocol: they get addresses from a node's list and retry on
+// another node when a node is draining. Each request must run and be answered.
+type drainLoad struct {
+	cl         *cluster
+	listSource *testbed.Place
+	answers    atomic.Int64
 }
 
-func (s *steady) addresses() ([]string, error) {
-	r := send(s.w.ctx, s.list.Callers, "GET", "/lovagelane/nodes", nil)
+func (s *drainLoad) addresses() ([]string, error) {
+	r := send(s.cl.ctx, s.listSource.Callers, "GET", "/lovagelane/nodes", nil)
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -43,11 +43,11 @@
 	return listed.Nodes, err
 }
 
-func (s *steady) run(ctx context.Context, name string, seed uint64) error {
+func (s *drainLoad) sendRequests(ctx context.Context, name string, seed uint64) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	for i := 0; ctx.Err() == nil; i++ {
 		id := fmt.Sprintf("%s-%d", name, i)
-		if err := s.request(id, i%2 == 0, r); err != nil {
+		if err := s.sendUntilRun(id, i%2 == 0, r); err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
 		s.answers.Add(1)
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func (s *steady) request(id string, order bool, r *rand.Rand) error {
+func (s *drainLoad) sendUntilRun(id string, order bool, r *rand.Rand) error {
 	ticket := ""
 	for range 10 {
 		addresses, err := s.addresses()
@@ -65,9 +65,9 @@
 		address := addresses[r.IntN(len(addresses))]
 		a := reply{}
 		if order {
-			a = send(s.w.ctx, address, "POST", "/nursery/orders", orderBody(id), "Lovagelane-Ticket", ticket)
+			a = send(s.cl.ctx, address, "POST", "/nursery/orders", orderBody(id), "Lovagelane-Ticket", ticket)
 		} else {
-			a = send(s.w.ctx, address, "GET", "/nursery/stock?request="+id, nil)
+			a = send(s.cl.ctx, address, "GET", "/nursery/stock?request="+id, nil)
 		}
 		switch {
 		case a.err != nil:
@@ -81,12 +81,12 @@
 			return nil
 		}
 	}
-	return errors.New("no node took it")
+	return errors.New("no node accepted the request in 10 attempts")
 }
 
-func (s *steady) progress(n int64) {
+func (s *drainLoad) awaitAnswers(n int64) {
 	from := s.answers.Load()
-	s.w.until("further answers", func(context.Context) error {
+	s.cl.eventually("further answers", func(context.Context) error {
 		if got := s.answers.Load() - from; got < n {
 			return fmt.Errorf("%d of %d", got, n)
 		}
@@ -94,10 +94,10 @@
 	})
 }
 
-// total returns the number of calls that the place's backend server has started.
-func (w *world) total(p *testbed.Place) int {
-	ran, err := p.Ran(w.ctx)
-	require.NoError(w.t, err)
+// callCount returns the number of calls that the place's backend server has started.
+func (cl *cluster) callCount(p *testbed.Place) int {
+	ran, err := p.Ran(cl.ctx)
+	require.NoError(cl.t, err)
 	n := 0
 	for _, count := range ran.Paths {
 		n += count
@@ -105,15 +105,16 @@
 	return n
 }
 
-// leaves checks that the place's backend server gets nothing new once the place's state has spread.
-func (s *steady) leaves(p *testbed.Place, id string, others []*testbed.Place) {
-	w := s.w
-	w.t.Helper()
+// requireDrained waits until no other node sees the place as serving, and checks that its backend server gets no new calls
+// from then on.
+func (s *drainLoad) requireDrained(p *testbed.Place, id string, others []*testbed.Place) {
+	cl := s.cl
+	cl.t.Helper()
 	for _, other := range others {
 		if other == p {
 			continue
 		}
-		w.status(other, "sees that "+p.Node.Name+" leaves", func(st node.Status) bool {
+		cl.awaitStatus(other, "knows that "+p.Node.Name+" is leaving", func(st node.Status) bool {
 			for _, m := range st.Members {
 				if m.ID == id && m.State == membership.StateServing {
 					return false
@@ -122,96 +123,96 @@
 			return true
 		})
 	}
-	w.t.Log(p.Node.Name, "known to leave", time.Now().Format("05.000"))
-	// Calls that were on their way when the state spread have ended after these.
-	s.progress(24)
-	before := w.total(p)
-	s.progress(60)
-	require.Equal(w.t, before, w.total(p), "%s got new work while it leaves", p.Backend.Name)
+	cl.t.Log(p.Node.Name, "is known to be leaving", time.Now().Format("05.000"))
+	// By the time these answers have arrived, calls that were in flight when the state spread have ended.
+	s.awaitAnswers(24)
+	before := cl.callCount(p)
+	s.awaitAnswers(60)
+	require.Equal(cl.t, before, cl.callCount(p), "%s got new calls while its place is leaving", p.Backend.Name)
 }
 
-// Guards against requests that a drain or a planned stop cuts off, and against new work for a backend server that
-// leaves, with the store up and down.
+// Guards against a drain or a planned stop that cuts off requests, and against new calls to a backend server whose place is
+// leaving, with the store up and down.
 func TestDrainAndPlannedStop(t *testing.T) {
-	// The work takes longer than a stopping node waits for its connections, so that a stop without a drain cuts it off.
+	// Calls take longer than a stopping node waits for its connections, so that a stop without a drain cuts them off.
 	services := []testbed.Service{orderServices("5ms")[0], orderServices("300ms")[1]}
 	services[0].Zones = []string{"rn-1", "rn-2"}
 	services[1].Zones = []string{"rn-1", "rn-2", "rn-1", "rn-2", "rn-1"}
-	// The last place that is left has room for all callers: a place that is short of room may refuse reads.
+	// The last remaining place has slots for all callers: a place without free slots may refuse reads.
 	services[1].Slots = drainCallers
-	w := start(t, orderRules, services...)
-	s := &steady{w: w, list: w.Of("payments")[0]}
-	load, stop := context.WithCancel(w.ctx)
+	cl := newCluster(t, orderRules, services...)
+	s := &drainLoad{cl: cl, listSource: cl.Of("payments")[0]}
+	load, stop := context.WithCancel(cl.ctx)
 	defer stop()
 	var g errgroup.Group
 	for i := range drainCallers {
-		g.Go(func() error { return s.run(load, fmt.Sprintf("s%d", i), uint64(i)) })
+		g.Go(func() error { return s.sendRequests(load, fmt.Sprintf("s%d", i), uint64(i)) })
 	}
-	nursery := w.Of("nursery")
-	left := w.Places
-	without := func(p *testbed.Place) {
+	nursery := cl.Of("nursery")
+	remaining := cl.Places
+	removePlace := func(p *testbed.Place) {
 		var rest []*testbed.Place
-		for _, other := range left {
+		for _, other := range remaining {
 			if other != p {
 				rest = append(rest, other)
 			}
 		}
-		left = rest
+		remaining = rest
 	}
-	s.progress(100)
+	s.awaitAnswers(100)
 
-	unwell := nursery[0]
-	id := w.member(unwell)
-	require.NoError(t, unwell.SetFaults(w.ctx, standin.BackendFaults{Unhealthy: pointer(true)}))
-	w.status(unwell, "notices its backend server", func(st node.Status) bool { return !st.BackendServerUp })
-	s.leaves(unwell, id, left)
-	require.NoError(t, unwell.SetFaults(w.ctx, standin.BackendFaults{Unhealthy: pointer(false)}))
-	w.serving(unwell, 1)
-	t.Log("unwell is up again", time.Now().Format("05.000"))
-	before := w.total(unwell)
-	w.until("work for the backend server that came back", func(context.Context) error {
-		if w.total(unwell) == before {
-			return errors.New("nothing new")
+	unhealthy := nursery[0]
+	id := cl.memberID(unhealthy)
+	require.NoError(t, unhealthy.SetFaults(cl.ctx, standin.BackendFaults{Unhealthy: pointer(true)}))
+	cl.awaitStatus(unhealthy, "detects its unhealthy backend server", func(st node.Status) bool { return !st.BackendServerUp })
+	s.requireDrained(unhealthy, id, remaining)
+	require.NoError(t, unhealthy.SetFaults(cl.ctx, standin.BackendFaults{Unhealthy: pointer(false)}))
+	cl.awaitServing(unhealthy, 1)
+	t.Log("the unhealthy place is up again", time.Now().Format("05.000"))
+	before := cl.callCount(unhealthy)
+	cl.eventually("calls to the recovered backend server", func(context.Context) error {
+		if cl.callCount(unhealthy) == before {
+			return errors.New("no new calls")
 		}
 		return nil
 	})
 
 	for i, phase := range []struct{ down, exit bool }{{false, false}, {false, true}, {true, false}, {true, true}} {
-		require.NoError(t, w.SetPlatformFaults(w.ctx, standin.PlatformFaults{Down: pointer(phase.down)}))
+		require.NoError(t, cl.SetPlatformFaults(cl.ctx, standin.PlatformFaults{Down: pointer(phase.down)}))
 		p := nursery[i+1]
-		id := w.member(p)
-		t.Log(p.Node.Name, "leaves", time.Now().Format("05.000"))
-		before := w.total(p)
-		require.NotZero(t, before, "no load on the place that leaves")
+		id := cl.memberID(p)
+		t.Log(p.Node.Name, "is leaving", time.Now().Format("05.000"))
+		before := cl.callCount(p)
+		require.NotZero(t, before, "no calls to the leaving place")
 		if phase.exit {
 			require.NoError(t, p.Node.Terminate())
-			ctx, cancel := context.WithTimeout(w.ctx, bound)
+			ctx, cancel := context.WithTimeout(cl.ctx, eventTimeout)
 			require.True(t, p.Node.Wait(ctx), "the node did not stop")
 			cancel()
 			require.Zero(t, p.Node.ExitCode())
-			without(p)
-			s.leaves(p, id, left)
+			removePlace(p)
+			s.requireDrained(p, id, remaining)
 			continue
 		}
-		r := send(w.ctx, p.Admin, "POST", "/drain", nil)
+		r := send(cl.ctx, p.Admin, "POST", "/drain", nil)
 		require.NoError(t, r.err)
 		require.Equal(t, http.StatusOK, r.status, "%s", r.body)
-		s.leaves(p, id, left)
-		without(p)
+		s.requireDrained(p, id, remaining)
+		removePlace(p)
 	}
 	t.Log("load ends", time.Now().Format("05.000"))
 	stop()
 	require.NoError(t, g.Wait())
 	runs := map[string]int{}
-	for _, st := range w.starts() {
+	for _, st := range cl.starts() {
 		runs[st.Path+" "+st.Order]++
 		require.True(t, st.Order == "" || runs[st.Path+" "+st.Order] == 1, "%s ran twice", st.Order)
 	}
 }
 
-// member returns the member id of the place's node.
-func (w *world) member(p *testbed.Place) string {
-	s, err := p.Status(w.ctx)
-	require.NoError(w.t, err)
+// memberID returns the member id of the place's node.
+func (cl *cluster) memberID(p *testbed.Place) string {
+	s, err := p.Status(cl.ctx)
+	require.NoError(cl.t, err)
 	return s.Member.ID
 }
--- a/failure/once_test.go
+++ b/failure/once_test.go
@@ -34,7 +34,7 @@
 non-idempotent = yes
 `
 
-// orderServices has orders that pass through two services, both non-idempotent.
+// orderServices returns two services that each order passes through. The order's requests are non-idempotent in both.
 func orderServices(serviceTime string) []testbed.Service {
 	return []testbed.Service{
 		{Name: "payments", Zones: []string{"rn-1", "rn-2"}, Slots: 8, Connections: 100, Timeout: time.Second,
@@ -44,36 +44,37 @@
 	}
 }
 
-// sent is one send of an order and what the caller was told.
-type sent struct {
+// sendRecord is one send of an order and its answer.
+type sendRecord struct {
 	order, send string
 	reply
 }
 
-// orders sends orders until it is stopped, each again with its ticket to other nodes until it is told that it ran.
-type orders struct {
-	w       *world
+// orderLoad sends orders until it is stopped. It sends each order with its ticket through random nodes, up to 6 times, until
+// an answer says that the order ran or that its owner is gone.
+type orderLoad struct {
+	cl      *cluster
 	answers atomic.Int64
 	mu      sync.Mutex
-	all     []sent
+	sends   []sendRecord
 }
 
-func (o *orders) run(ctx context.Context, name string, seed uint64) {
+func (o *orderLoad) sendOrders(ctx context.Context, name string, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	addresses := o.w.Callers()
+	addresses := o.cl.Callers()
 	for i := 0; ctx.Err() == nil; i++ {
 		order := fmt.Sprintf("%s-%d", name, i)
 		ticket := ""
 		for k := range 6 {
 			id := fmt.Sprintf("%s/%d", order, k)
-			// A send that has begun is awaited, so that every answer is checked.
-			a := send(o.w.ctx, addresses[r.IntN(len(addresses))], "POST", "/nursery/orders", orderBody(order),
+			// The send uses the test's context and not ctx, so that a send in flight completes and every answer is checked.
+			a := send(o.cl.ctx, addresses[r.IntN(len(addresses))], "POST", "/nursery/orders", orderBody(order),
 				"Lovagelane-Ticket", ticket, "Send", id)
 			if a.ticket != "" {
 				ticket = a.ticket
 			}
 			o.mu.Lock()
-			o.all = append(o.all, sent{order, id, a})
+			o.sends = append(o.sends, sendRecord{order, id, a})
 			o.mu.Unlock()
 			o.answers.Add(1)
 			if a.outcome == "ran" || a.reason == "owner-gone" {
@@ -83,10 +84,10 @@
 	}
 }
 
-// progress waits until callers got n further answers.
-func (o *orders) progress(n int64) {
+// awaitAnswers waits until callers have received n more answers.
+func (o *orderLoad) awaitAnswers(n int64) {
 	from := o.answers.Load()
-	o.w.until("further answers", func(context.Context) error {
+	o.cl.eventually("further answers", func(context.Context) error {
 		if got := o.answers.Load() - from; got < n {
 			return fmt.Errorf("%d of %d", got, n)
 		}
@@ -94,11 +95,11 @@
 	})
 }
 
-// check checks every answer against what backend servers started, and returns the answers by outcome.
-func (o *orders) check() map[string]int {
-	t := o.w.t
+// verify compares every answer with the requests that backend servers started, and returns the number of answers by outcome.
+func (o *orderLoad) verify() map[string]int {
+	t := o.cl.t
 	runs, bySend := map[string]int{}, map[string]int{}
-	for _, s := range o.w.starts() {
+	for _, s := range o.cl.starts() {
 		runs[s.Path+" "+s.Order]++
 		if s.Path == "/orders" {
 			bySend[s.Send]++
@@ -108,7 +109,7 @@
 		require.Equal(t, 1, n, "order %s ran more than once", key)
 	}
 	outcomes := map[string]int{}
-	for _, s := range o.all {
+	for _, s := range o.sends {
 		outcome := s.outcome
 		if s.err != nil {
 			outcome = "no answer"
@@ -116,9 +117,9 @@
 		outcomes[outcome]++
 		switch outcome {
 		case "not-run":
-			require.Zero(t, bySend[s.send], "send %s was told not run (%s) and ran", s.send, s.reason)
+			require.Zero(t, bySend[s.send], "send %s was answered as not run (%s) and ran", s.send, s.reason)
 		case "ran":
-			require.Equal(t, 1, runs["/orders "+s.order], "order %s was told that it ran (%d %s)", s.order, s.status, s.reason)
+			require.Equal(t, 1, runs["/orders "+s.order], "order %s was answered as run (%d %s)", s.order, s.status, s.reason)
 		case "unknown", "no answer":
 		default:
 			require.Fail(t, "answer without an outcome", "%+v", s)
@@ -127,101 +128,103 @@
 	return outcomes
 }
 
-// killDuringOrders kills nodes and backend servers of the places in the order that the seed gives, while callers send
-// orders, and checks every answer.
-func (w *world) killDuringOrders(seed uint64, kills int, places []*testbed.Place) {
+// killDuringOrders kills and restarts nodes and backend servers of the places, chosen by the seed, while callers send orders,
+// and checks every answer.
+func (cl *cluster) killDuringOrders(seed uint64, kills int, places []*testbed.Place) {
 	const callers = 10
-	o := &orders{w: w}
-	load, stop := context.WithCancel(w.ctx)
+	o := &orderLoad{cl: cl}
+	load, stop := context.WithCancel(cl.ctx)
 	defer stop()
 	var g errgroup.Group
 	for i := range callers {
-		g.Go(func() error { o.run(load, fmt.Sprintf("o%d", i), seed+uint64(i)); return nil })
+		g.Go(func() error { o.sendOrders(load, fmt.Sprintf("o%d", i), seed+uint64(i)); return nil })
 	}
 	r := rand.New(rand.NewPCG(seed, 2))
-	o.progress(50)
+	o.awaitAnswers(50)
 	for range kills {
 		p := places[r.IntN(len(places))]
 		victim := p.Node
 		if r.IntN(2) == 0 {
 			victim = p.Backend
 		}
-		require.NoError(w.t, victim.Kill())
-		o.progress(50)
-		require.NoError(w.t, victim.Start())
-		w.serving(p, 1)
-		o.progress(50)
+		require.NoError(cl.t, victim.Kill())
+		o.awaitAnswers(50)
+		require.NoError(cl.t, victim.Start())
+		cl.awaitServing(p, 1)
+		o.awaitAnswers(50)
 	}
 	stop()
-	require.NoError(w.t, g.Wait())
-	outcomes := o.check()
-	w.t.Log("answers by outcome:", outcomes)
-	require.NotZero(w.t, outcomes["ran"])
-	require.NotZero(w.t, outcomes["unknown"]+outcomes["no answer"], "no kill hit a call in flight")
+	require.NoError(cl.t, g.Wait())
+	outcomes := o.verify()
+	cl.t.Log("answers by outcome:", outcomes)
+	require.NotZero(cl.t, outcomes["ran"])
+	require.NotZero(cl.t, outcomes["unknown"]+outcomes["no answer"], "no kill hit a call in flight")
 }
 
-// Guards against an order that runs twice, a "not run" that ran and a "ran" that did not, when entry, owner and serving
-// nodes and backend servers are killed while callers send their orders again to other nodes.
+// Guards against an order that runs twice, an order answered as "not-run" that ran and one answered as "ran" that did not,
+// when entry, owner and serving nodes and backend servers are killed while callers resend their orders through other nodes.
 func TestOrdersRunOnceWhileProcessesAreKilled(t *testing.T) {
-	w := start(t, orderRules, orderServices("30ms")...)
-	w.killDuringOrders(1, 8, w.Places)
+	cl := newCluster(t, orderRules, orderServices("30ms")...)
+	cl.killDuringOrders(1, 8, cl.Places)
 }
 
-// Guards against a paused owner that starts an order after its caller was told "unknown", also when the configuration
-// changed meanwhile.
-func TestFrozenOwnerStartsNothingLate(t *testing.T) {
-	w := start(t, orderRules, orderServices("5ms")...)
-	owner, entry := w.Of("nursery")[0], w.Of("nursery")[1]
-	via := func(ticket, order string) reply {
-		return send(w.ctx, entry.Callers, "POST", "/nursery/orders", orderBody(order), "Lovagelane-Ticket", ticket)
+// Guards against a paused owner that, when it resumes, starts an order whose caller already got the outcome "unknown", also if
+// the configuration changed in the meantime.
+func TestFrozenOwnerDoesNotStartExpiredOrder(t *testing.T) {
+	cl := newCluster(t, orderRules, orderServices("5ms")...)
+	owner, entry := cl.Of("nursery")[0], cl.Of("nursery")[1]
+	sendVia := func(ticket, order string) reply {
+		return send(cl.ctx, entry.Callers, "POST", "/nursery/orders", orderBody(order), "Lovagelane-Ticket", ticket)
 	}
-	// The first order opens the connection on which the second one then waits for the paused owner.
-	first := via(w.ticket(owner, "/nursery/orders", "first"), "first")
+	// The first order opens the connection on which the second order then waits for the paused owner.
+	first := sendVia(cl.ticket(owner, "/nursery/orders", "first"), "first")
 	require.Equal(t, "ran", first.outcome, "%+v", first)
 
-	ticket := w.ticket(owner, "/nursery/orders", "late")
+	ticket := cl.ticket(owner, "/nursery/orders", "late")
 	require.NoError(t, owner.Node.Freeze())
-	told := via(ticket, "late")
-	require.Equal(t, "unknown", told.outcome, "%+v", told)
-	out, _ := w.command("apply", "--store", w.Store, "--keys", w.Dir(), "--wait", "1s", w.files(orderRules+"\n# changed\n"))
+	answer := sendVia(ticket, "late")
+	require.Equal(t, "unknown", answer.outcome, "%+v", answer)
+	out, _ := cl.runCommand("apply", "--store", cl.Store, "--keys", cl.Dir(), "--wait", "1s",
+		cl.writeConfig(orderRules+"\n# changed\n"))
 	require.Contains(t, out, "accepted as version 2")
 	require.NoError(t, owner.Node.Resume())
-	w.serving(owner, 2)
-	// What the owner found on its connections when it resumed has ended before a new order through it does.
-	after := via(w.ticket(owner, "/nursery/orders", "after"), "after")
+	cl.awaitServing(owner, 2)
+	// By the time a new order through the owner has ended, the owner has processed everything that it received while paused.
+	after := sendVia(cl.ticket(owner, "/nursery/orders", "after"), "after")
 	require.Equal(t, "ran", after.outcome, "%+v", after)
-	require.Zero(t, w.count("/orders", "late"), "the resumed owner started an order whose deadline had passed")
+	require.Zero(t, cl.startCount("/orders", "late"), "the resumed owner started an order whose deadline had passed")
 }
 
-// Guards against a second start when the owner is paused after it sent the call and its caller, told "unknown", sends the
-// order again while and after the owner is paused.
-func TestFrozenOwnerKeepsWhatRan(t *testing.T) {
-	w := start(t, orderRules, orderServices("300ms")...)
-	owner, entry := w.Of("nursery")[0], w.Of("nursery")[1]
-	ticket := w.ticket(owner, "/nursery/orders", "sent")
-	via := func(p *testbed.Place) reply {
-		return send(w.ctx, p.Callers, "POST", "/nursery/orders", orderBody("sent"), "Lovagelane-Ticket", ticket)
+// Guards against an order that starts twice when its owner is paused after it sent the call, and the caller, which got the
+// outcome "unknown", resends the order during and after the pause.
+func TestFrozenOwnerRemembersStartedOrder(t *testing.T) {
+	cl := newCluster(t, orderRules, orderServices("300ms")...)
+	owner, entry := cl.Of("nursery")[0], cl.Of("nursery")[1]
+	ticket := cl.ticket(owner, "/nursery/orders", "sent")
+	sendVia := func(p *testbed.Place) reply {
+		return send(cl.ctx, p.Callers, "POST", "/nursery/orders", orderBody("sent"), "Lovagelane-Ticket", ticket)
 	}
 	var g errgroup.Group
-	var told reply
-	g.Go(func() error { told = via(entry); return nil })
-	w.until("start of the order", func(context.Context) error {
-		if w.count("/orders", "sent") == 0 {
+	var answer reply
+	g.Go(func() error { answer = sendVia(entry); return nil })
+	cl.eventually("start of the order", func(context.Context) error {
+		if cl.startCount("/orders", "sent") == 0 {
 			return fmt.Errorf("not started")
 		}
 		return nil
 	})
 	require.NoError(t, owner.Node.Freeze())
 	require.NoError(t, g.Wait())
-	require.Equal(t, "unknown", told.outcome, "%+v", told)
-	again := via(w.Of("payments")[0])
+	require.Equal(t, "unknown", answer.outcome, "%+v", answer)
+	again := sendVia(cl.Of("payments")[0])
 	require.Equal(t, "unknown", again.outcome, "%+v", again)
-	out, _ := w.command("apply", "--store", w.Store, "--keys", w.Dir(), "--wait", "1s", w.files(orderRules+"\n# changed\n"))
+	out, _ := cl.runCommand("apply", "--store", cl.Store, "--keys", cl.Dir(), "--wait", "1s",
+		cl.writeConfig(orderRules+"\n# changed\n"))
 	require.Contains(t, out, "accepted as version 2")
 	require.NoError(t, owner.Node.Resume())
-	w.serving(owner, 2)
-	last := via(w.Of("payments")[1])
+	cl.awaitServing(owner, 2)
+	last := sendVia(cl.Of("payments")[1])
 	require.NotEqual(t, "not-run", last.outcome, "%+v", last)
-	require.Equal(t, 1, w.count("/orders", "sent"))
-	require.LessOrEqual(t, w.count("/holds", "sent"), 1)
+	require.Equal(t, 1, cl.startCount("/orders", "sent"))
+	require.LessOrEqual(t, cl.startCount("/holds", "sent"), 1)
 }
--- a/failure/world_test.go
+++ b/failure/world_test.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	// maxProcesses bounds the processes of tests that run at the same time.
+	// maxProcesses bounds the number of processes of all tests that run in parallel.
 	maxProcesses = 25
-	// bound is how long a test waits for an event; it is far above what any event takes.
-	bound = 60 * time.Second
-	// sendTimeout is how long a caller waits for an answer; it is above the timeout of every service.
+	// eventTimeout is how long a test waits for an event; it is far above the time that any event takes.
+	eventTimeout = 60 * time.Second
+	// sendTimeout is how long a caller waits for an answer; it is longer than the timeout of every service.
 	sendTimeout = 10 * time.Second
 )
 
 var (
-	bin       string
-	processes = semaphore.NewWeighted(maxProcesses)
+	bin          string
+	processSlots = semaphore.NewWeighted(maxProcesses)
 )
 
-func TestMain(m *testing.M) { os.Exit(run(m)) }
+func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
-func run(m *testing.M) int {
+func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "lovagelane-failure-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -48,7 +48,7 @@
 	defer os.RemoveAll(dir)
 	bin = dir
 	if given := os.Getenv("FAILURE_BIN"); given != "" {
-		// Programs of a changed copy, to see which tests notice the change.
+		// Use the programs of a mutated copy of the sources, to check which tests detect the mutation.
 		bin = given
 		return m.Run()
 	}
@@ -60,8 +60,8 @@
 	return m.Run()
 }
 
-// world is a deployment of one test.
-type world struct {
+// cluster is the deployment of one test.
+type cluster struct {
 	*testbed.Bed
 	t        *testing.T
 	ctx      context.Context
@@ -70,76 +70,77 @@
 	journal  string
 }
 
-// start starts a deployment with configuration 1 in force everywhere and stops it after the test. Each process that still
-// runs must stop by itself.
-func start(t *testing.T, rules string, services ...testbed.Service) *world {
-	return startWith(t, 0, rules, services...)
+// newCluster starts a deployment with configuration 1 in force on all nodes, and stops it after the test. Each process that
+// still runs must then exit without being killed.
+func newCluster(t *testing.T, rules string, services ...testbed.Service) *cluster {
+	return newClusterWithReserve(t, 0, rules, services...)
 }
 
-// startWith leaves room for further processes that the test starts.
-func startWith(t *testing.T, further int64, rules string, services ...testbed.Service) *world {
+// newClusterWithReserve is newCluster with a reserve in maxProcesses for processes that the test starts later.
+func newClusterWithReserve(t *testing.T, reserve int64, rules string, services ...testbed.Service) *cluster {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	t.Cleanup(cancel)
-	count := 1 + further
+	count := 1 + reserve
 	for _, s := range services {
 		count += 2 * int64(len(s.Zones))
 	}
-	require.NoError(t, processes.Acquire(ctx, count))
-	t.Cleanup(func() { processes.Release(count) })
+	require.NoError(t, processSlots.Acquire(ctx, count))
+	t.Cleanup(func() { processSlots.Release(count) })
 	bed, err := testbed.New(ctx, testbed.Options{Bin: bin})
 	require.NoError(t, err)
-	w := &world{Bed: bed, t: t, ctx: ctx, rules: rules, journal: filepath.Join(bed.Dir(), "journal")}
-	t.Cleanup(w.stop)
+	cl := &cluster{Bed: bed, t: t, ctx: ctx, rules: rules, journal: filepath.Join(bed.Dir(), "journal")}
+	t.Cleanup(cl.stop)
 	for _, s := range services {
-		s.Backend = append([]string{"--journal", w.journal, "--fixed"}, s.Backend...)
-		w.services = append(w.services, s)
+		s.Backend = append([]string{"--journal", cl.journal, "--fixed"}, s.Backend...)
+		cl.services = append(cl.services, s)
 	}
-	ready, done := context.WithTimeout(ctx, bound)
-	defer done()
-	// The seed of all others listens before they start. Nodes that start together can miss it and see each other only
-	// after the next listing of the store, up to a minute later; docs/PROOFS.md lists this as not proved.
-	first, rest := w.services[0], w.services[0]
+	ready, cancelReady := context.WithTimeout(ctx, eventTimeout)
+	defer cancelReady()
+	// Start the node that is the seed of all others first. Nodes that start at the same time can miss it and then discover
+	// each other only at the next listing of the store, up to a minute later; docs/PROOFS.md lists this as not proved.
+	first, rest := cl.services[0], cl.services[0]
 	first.Zones, rest.Zones = first.Zones[:1], rest.Zones[1:]
 	require.NoError(t, bed.Add(first))
 	require.NoError(t, bed.Up(ready))
-	require.NoError(t, bed.Add(append([]testbed.Service{rest}, w.services[1:]...)...))
+	require.NoError(t, bed.Add(append([]testbed.Service{rest}, cl.services[1:]...)...))
 	require.NoError(t, bed.Up(ready))
-	_, err = bed.Apply(ready, testbed.Inventory(w.services), rules)
+	_, err = bed.Apply(ready, testbed.Inventory(cl.services), rules)
 	require.NoError(t, err)
 	require.NoError(t, bed.Ready(ready, 1))
-	return w
+	return cl
 }
 
-func (w *world) stop() {
-	ended := w.Stop()
-	if w.t.Failed() {
-		w.t.Log("settings and logs are in", w.Dir())
+func (cl *cluster) stop() {
+	ended := cl.Stop()
+	if cl.t.Failed() {
+		cl.t.Log("settings and logs are in", cl.Dir())
 		return
 	}
-	require.Empty(w.t, ended.Running, "processes that could not be ended")
-	require.Empty(w.t, ended.Failed, "processes with a bad exit status")
-	require.NoError(w.t, w.Remove())
+	require.Empty(cl.t, ended.Running, "processes that could not be stopped")
+	require.Empty(cl.t, ended.Failed, "processes with a bad exit status")
+	require.NoError(cl.t, cl.Remove())
 }
 
-// until waits for an event.
-func (w *world) until(what string, f func(context.Context) error) {
-	w.t.Helper()
-	ctx, cancel := context.WithTimeout(w.ctx, bound)
+// eventually retries f until it returns no error, and fails the test after eventTimeout.
+func (cl *cluster) eventually(what string, f func(context.Context) error) {
+	cl.t.Helper()
+	ctx, cancel := context.WithTimeout(cl.ctx, eventTimeout)
 	defer cancel()
-	require.NoError(w.t, testbed.Until(ctx, what, f))
+	require.NoError(cl.t, testbed.Until(ctx, what, f))
 }
 
-// serving waits until the place's node has a configuration in force and its backend server is up.
-func (w *world) serving(p *testbed.Place, version uint64) {
-	w.t.Helper()
-	w.status(p, "serving", func(s node.Status) bool { return s.BackendServerUp && s.ConfigurationVersion >= version })
+// awaitServing waits until the place's node has at least the given configuration version in force and its backend server is
+// up.
+func (cl *cluster) awaitServing(p *testbed.Place, version uint64) {
+	cl.t.Helper()
+	cl.awaitStatus(p, "serving", func(s node.Status) bool { return s.BackendServerUp && s.ConfigurationVersion >= version })
 }
 
-// status waits until the status of the place's node is as asked.
-func (w *world) status(p *testbed.Place, what string, ok func(node.Status) bool) {
-	w.t.Helper()
-	w.until(p.Node.Name+" "+what, func(ctx context.Context) error {
+// awaitStatus waits until the status of the place's node satisfies ok.
+func (cl *cluster) awaitStatus(p *testbed.Place, what string, ok func(node.Status) bool) {
+	cl.t.Helper()
+	cl.eventually(p.Node.Name+" "+what, func(ctx context.Context) error {
 		s, err := p.Status(ctx)
 		if err == nil && !ok(s) {
 			err = fmt.Errorf("status is %+v", s)
@@ -148,30 +149,30 @@
 	})
 }
 
-// command runs an operator's command.
-func (w *world) command(args ...string) (string, error) {
-	ctx, cancel := context.WithTimeout(w.ctx, bound)
+// runCommand runs an operator's command and returns its combined output.
+func (cl *cluster) runCommand(args ...string) (string, error) {
+	ctx, cancel := context.WithTimeout(cl.ctx, eventTimeout)
 	defer cancel()
 	out, err := exec.CommandContext(ctx, filepath.Join(bin, "lovagelane"), args...).CombinedOutput()
 	return string(out), err
 }
 
-// files writes a configuration into a directory of its own.
-func (w *world) files(rules string) string {
-	dir, err := os.MkdirTemp(w.Dir(), "configuration-")
-	require.NoError(w.t, err)
-	require.NoError(w.t, os.WriteFile(filepath.Join(dir, "inventory.ini"), []byte(testbed.Inventory(w.services)), 0o644))
-	require.NoError(w.t, os.WriteFile(filepath.Join(dir, "rules.ini"), []byte(rules), 0o644))
+// writeConfig writes a configuration into a new directory and returns the directory.
+func (cl *cluster) writeConfig(rules string) string {
+	dir, err := os.MkdirTemp(cl.Dir(), "configuration-")
+	require.NoError(cl.t, err)
+	require.NoError(cl.t, os.WriteFile(filepath.Join(dir, "inventory.ini"), []byte(testbed.Inventory(cl.services)), 0o644))
+	require.NoError(cl.t, os.WriteFile(filepath.Join(dir, "rules.ini"), []byte(rules), 0o644))
 	return dir
 }
 
-// starts returns what backend servers started, also those that were killed since.
-func (w *world) starts() []standin.Start {
-	f, err := os.Open(w.journal)
+// starts returns the requests that backend servers have started, including backend servers that were killed since.
+func (cl *cluster) starts() []standin.Start {
+	f, err := os.Open(cl.journal)
 	if os.IsNotExist(err) {
 		return nil
 	}
-	require.NoError(w.t, err)
+	require.NoError(cl.t, err)
 	defer f.Close()
 	var all []standin.Start
 	for lines := bufio.NewScanner(f); lines.Scan(); {
@@ -183,10 +184,10 @@
 	return all
 }
 
-// count returns how often an order was started on a path.
-func (w *world) count(path, order string) int {
+// startCount returns how often an order was started on a path.
+func (cl *cluster) startCount(path, order string) int {
 	n := 0
-	for _, s := range w.starts() {
+	for _, s := range cl.starts() {
 		if s.Path == path && s.Order == order {
 			n++
 		}
@@ -194,7 +195,7 @@
 	return n
 }
 
-// reply is what one send brought; err is set when no whole answer came.
+// reply is the result of one send; err is set if no complete answer arrived.
 type reply struct {
 	status                  int
 	outcome, reason, ticket string
@@ -202,11 +203,11 @@
 	err                     error
 }
 
-// caller keeps no connections, since the nodes that it asks are killed and frozen.
-var caller = &http.Client{Transport: &http.Transport{DisableKeepAlives: true,
+// callerClient does not reuse connections, since the nodes that it calls are killed and frozen.
+var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true,
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}, Timeout: sendTimeout}
 
-// send sends a request once; headers are pairs of name and value.
+// send sends a request without retries; headers are pairs of name and value.
 func send(ctx context.Context, address, method, path string, body []byte, headers ...string) reply {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -217,7 +218,7 @@
 			req.Header.Set(headers[i], headers[i+1])
 		}
 	}
-	resp, err := caller.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -232,11 +233,11 @@
 	return fmt.Appendf(nil, `{"request":%q,"order":%q}`, order, order)
 }
 
-// ticket fetches a ticket for an order from one node.
-func (w *world) ticket(p *testbed.Place, path, order string) string {
-	r := send(w.ctx, p.Callers, "POST", path, orderBody(order))
-	require.NoError(w.t, r.err)
-	require.Equal(w.t, "ticket-required", r.reason)
-	require.NotEmpty(w.t, r.ticket)
+// ticket gets a ticket for an order from a node.
+func (cl *cluster) ticket(p *testbed.Place, path, order string) string {
+	r := send(cl.ctx, p.Callers, "POST", path, orderBody(order))
+	require.NoError(cl.t, r.err)
+	require.Equal(cl.t, "ticket-required", r.reason)
+	require.NotEmpty(cl.t, r.ticket)
 	return r.ticket
 }
