--- a/admission/controller.go
+++ b/admission/controller.go
@@ -134,7 +134,7 @@
 		slots:   max(cfg.Slots, 1),
 		limiter: create(),
 		level:   newLevel(),
-		ops:     operations{table: kernel.NewTable[string, operation](maxOperations)},
+		ops:     operations{table: kernel.NewLRU[string, operation](maxOperations)},
 		running: runningSet{byID: map[uint64]*runningCall{}},
 		queue:   queue{byID: map[uint64]*entry{}},
 	}, nil
--- a/admission/level.go
+++ b/admission/level.go
@@ -50,7 +50,7 @@
 
 func newLevel() level { return level{key: numKeys - 1, quota: math.Inf(1)} }
 
-func (l *level) priority() call.Priority { return call.PriorityOf(uint16(l.key)) }
+func (l *level) priority() call.Priority { return call.PriorityFromKey(uint16(l.key)) }
 
 // admit counts an arrival and reports whether it is admitted.
 func (l *level) admit(p call.Priority) bool {
--- a/admission/operation.go
+++ b/admission/operation.go
@@ -26,7 +26,7 @@
 
 // operations holds the statistics of each operation.
 type operations struct {
-	table *kernel.Table[string, operation]
+	table *kernel.LRU[string, operation]
 	// all holds the statistics of all operations together.
 	all operation
 }
@@ -48,7 +48,7 @@
 }
 
 func (o *operations) recordArrival(now time.Time, name string) *operation {
-	op := o.table.Put(name)
+	op := o.table.GetOrAdd(name)
 	op.lastArrival = now
 	return op
 }
@@ -56,7 +56,7 @@
 // othersSince reports whether a call of another operation arrived after t.
 func (o *operations) othersSince(op *operation, t time.Time) bool {
 	found := false
-	o.table.Each(func(_ string, other *operation) bool {
+	o.table.Retain(func(_ string, other *operation) bool {
 		found = found || other != op && other.lastArrival.After(t)
 		return true
 	})
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -110,7 +110,7 @@
 // shed; within a band, callers take turns.
 func band(p call.Priority) int {
 	b := 2 * int(min(p.Rank, call.MaxRank))
-	if p.Value >= call.FairValues {
+	if p.Value >= call.FairShareValues {
 		b++
 	}
 	return b
--- a/balance/chooser.go
+++ b/balance/chooser.go
@@ -168,7 +168,7 @@
 func (c *Chooser) HedgeDelay() time.Duration { return c.latencies.p95 }
 
 // Avoided returns the IDs of the candidates that are currently avoided.
-func (c *Chooser) Avoided() []string {
+func (c *Chooser) Ejected() []string {
 	var ids []string
 	for id, p := range c.peers {
 		if p.avoided {
--- a/balance/policy.go
+++ b/balance/policy.go
@@ -125,7 +125,7 @@
 	case best != nil:
 		return c.toChoice(now, best)
 	case refused:
-		return None{Reason: call.ReasonShed, Level: call.PriorityOf(level)}
+		return None{Reason: call.ReasonShed, Level: call.PriorityFromKey(level)}
 	default:
 		return None{Reason: call.ReasonNoBackendServer}
 	}
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -272,7 +272,7 @@
 	r := NewRecorder(Node{ID: "a", AvailabilityZone: "rn-1"}, clock)
 	for i := range 1000 {
 		r.Record(Key{Service: "maps", Operation: fmt.Sprint(i)}, KindGood)
-		r.Event(EventEjected, fmt.Sprint(i))
+		r.RecordEvent(EventEjected, fmt.Sprint(i))
 	}
 	s := r.Snapshot()
 	require.Len(t, s.Series, maxSeries+1)
@@ -285,7 +285,7 @@
 
 	var nilRecorder *Recorder
 	nilRecorder.Record(key, KindGood)
-	nilRecorder.Event(EventEjected, "a")
+	nilRecorder.RecordEvent(EventEjected, "a")
 	nilRecorder.SetObjectives(nurseryObjectives)
 	require.Empty(t, nilRecorder.Snapshot())
 }
@@ -298,7 +298,7 @@
 		g.Go("calls", func(context.Context) error {
 			for i := range 500 {
 				r.Record(Key{Service: "maps", Operation: fmt.Sprint(i % 50)}, KindGood)
-				r.Event(EventLimitLowered, "maps")
+				r.RecordEvent(EventLimitLowered, "maps")
 			}
 			_ = r.Snapshot()
 			return nil
@@ -327,10 +327,10 @@
 			a.Record(order, KindGood)
 		}
 		a.Record(order, KindShed)
-		a.Event(EventLimitLowered, "nursery <1>")
+		a.RecordEvent(EventLimitLowered, "nursery <1>")
 	}
 	clock.now = startTime.Add(2 * time.Hour)
-	a.Event(EventQuarantined, "digest 9f3c")
+	a.RecordEvent(EventQuarantined, "digest 9f3c")
 	b := NewRecorder(Node{ID: "b", Address: "10.0.1.1:9100", AvailabilityZone: "ce-1"}, clock)
 	b.Record(Key{Service: "maps", Class: "reloads", Operation: "map", AvailabilityZone: "rn-2"}, KindFailed)
 	clock.now = startTime.Add(150 * time.Minute)
@@ -407,7 +407,7 @@
 func TestGather(t *testing.T) {
 	_, recorder := exampleReport()
 	s := recorder.Snapshot()
-	got := Gather([]Answer{
+	got := MergeAnswers([]NodeAnswer{
 		{Address: "10.0.0.1:7002", Snapshot: s},
 		{Address: "10.0.0.2:7002", Err: errors.New("refused")},
 		{Address: "10.0.0.3:7002"},
--- a/burn/gather.go
+++ b/burn/gather.go
@@ -7,7 +7,7 @@
 )
 
 // Answer holds the snapshot of one node, or the error of its request.
-type Answer struct {
+type NodeAnswer struct {
 	Address  string
 	Snapshot Snapshot
 	Err      error
@@ -15,7 +15,7 @@
 
 // Gather merges the answers of all nodes into one snapshot. A node whose request failed, or whose answer does not contain
 // exactly one node, is listed as missing. A node that answered at two addresses counts once.
-func Gather(answers []Answer) Snapshot {
+func MergeAnswers(answers []NodeAnswer) Snapshot {
 	seen := kernel.Set[string]{}
 	parts := make([]Snapshot, 0, len(answers))
 	for _, a := range answers {
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -94,7 +94,7 @@
 }
 
 // Event records that the node entered a protective state. A repeat within 10 minutes of the last one extends that event.
-func (r *Recorder) Event(kind EventKind, subject string) {
+func (r *Recorder) RecordEvent(kind EventKind, subject string) {
 	if r == nil {
 		return
 	}
--- a/call/header.go
+++ b/call/header.go
@@ -7,4 +7,4 @@
 }
 
 // ConnectionHeader reports whether a header applies to a single connection only and must not be forwarded.
-func ConnectionHeader(name string) bool { return hopByHopHeaders[name] }
+func IsHopByHopHeader(name string) bool { return hopByHopHeaders[name] }
--- a/call/priority.go
+++ b/call/priority.go
@@ -6,7 +6,7 @@
 	// MaxRank is the rank of the least important class that rules may define.
 	MaxRank = 15
 	// FairValues is the number of values for callers within their fair share; callers above it get values from FairValues up.
-	FairValues = 128
+	FairShareValues = 128
 )
 
 // Priority orders requests for load shedding: the lower rank is more important, and within a rank the lower value.
@@ -22,7 +22,7 @@
 func (p Priority) Key() uint16 { return uint16(p.Rank)<<8 | uint16(p.Value) }
 
 // PriorityOf returns the priority with the given key.
-func PriorityOf(key uint16) Priority {
+func PriorityFromKey(key uint16) Priority {
 	return Priority{Rank: uint8(key >> 8), Value: uint8(key)}
 }
 
--- a/cmd/bench/bench.go
+++ b/cmd/bench/bench.go
@@ -85,7 +85,7 @@
 // deploy runs f on a new deployment and then stops the deployment. If a deployment does not become ready, deploy reports
 // it and starts a new one, since the benchmarks do not measure the start.
 func (b *bench) deploy(ctx context.Context, v variant, services []testbed.Service, rules string,
-	f func(ctx context.Context, bed *testbed.Bed) error) error {
+	f func(ctx context.Context, bed *testbed.Deployment) error) error {
 	for try := 1; ; try++ {
 		err := b.deployOnce(ctx, v, services, rules, f)
 		var notReady notReadyError
@@ -97,7 +97,7 @@
 }
 
 func (b *bench) deployOnce(ctx context.Context, v variant, services []testbed.Service, rules string,
-	f func(ctx context.Context, bed *testbed.Bed) error) (err error) {
+	f func(ctx context.Context, bed *testbed.Deployment) error) (err error) {
 	bed, err := testbed.New(ctx, testbed.Options{Bin: b.bin, NodeSettings: v.settings})
 	if err != nil {
 		return err
@@ -119,13 +119,13 @@
 	}
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := bed.Up(readyCtx); err != nil {
+	if err := bed.WaitHealthy(readyCtx); err != nil {
 		return notReadyError{err}
 	}
 	if _, err := bed.Apply(readyCtx, testbed.Inventory(services), rules); err != nil {
 		return notReadyError{err}
 	}
-	if err := bed.Ready(readyCtx, 1); err != nil {
+	if err := bed.WaitReady(readyCtx, 1); err != nil {
 		return notReadyError{err}
 	}
 	return f(ctx, bed)
@@ -176,7 +176,7 @@
 func printResults(name string, r *standin.Results) {
 	for _, k := range r.Kinds() {
 		fmt.Printf("- %s, %s: sent %d, answered %d, shed %d, refused %d, failed %d, unknown %d, late %d, p50 %.1f ms, p99 %.1f ms %v\n",
-			name, k.Kind, k.Sent, k.Answered, k.Shed, k.Refused, k.Failed, k.Unknown, k.Late, ms(k.Quantile(50)),
+			name, k.Kind, k.Sent, k.Answered, k.Shed, k.Refused, k.Failed, k.Unknown, k.TimedOut, ms(k.Quantile(50)),
 			ms(k.Quantile(99)), k.Reasons)
 	}
 	fmt.Println()
--- a/cmd/bench/calls.go
+++ b/cmd/bench/calls.go
@@ -24,11 +24,11 @@
 	services := []testbed.Service{
 		{Name: "front", Zones: []string{"rn-1"}, Slots: 64, Connections: 400, Timeout: time.Second},
 		{Name: "echo", Zones: []string{"rn-1"}, Slots: 64, Connections: 400, Timeout: time.Second,
-			Backend: []string{"--service-time=2ms", "--fixed"}},
+			BackendFlags: []string{"--service-time=2ms", "--fixed"}},
 	}
 	rates := []float64{0, 50, 100, 200, 400}
-	return b.deploy(ctx, product, services, plainRules, func(ctx context.Context, bed *testbed.Bed) error {
-		places := []*testbed.Place{bed.Of("front")[0], bed.Of("echo")[0]}
+	return b.deploy(ctx, product, services, plainRules, func(ctx context.Context, bed *testbed.Deployment) error {
+		places := []*testbed.Place{bed.PlacesOf("front")[0], bed.PlacesOf("echo")[0]}
 		used := [2][]float64{}
 		fmt.Println("| calls a second | calling node, ms a second | memory MB | serving node, ms a second | memory MB |")
 		fmt.Println("|---|---|---|---|---|")
@@ -66,7 +66,7 @@
 			rateBench := &bench{seed: b.seed + uint64(rate)}
 			_, r, err := rateBench.load(ctx, callerAddresses(places[:1]), kinds, standin.Constant(rate),
 				span{0, callsWarmUp + callsWindow + callsWarmUp/2})
-			if err == nil && r.Kind("call").Share() < 1 {
+			if err == nil && r.Kind("call").AnsweredShare() < 1 {
 				printResults(fmt.Sprintf("%.0f a second", rate), r)
 			}
 			return err
--- a/cmd/bench/chain.go
+++ b/cmd/bench/chain.go
@@ -33,11 +33,11 @@
 	zones := []string{"rn-1", "rn-2"}
 	return []testbed.Service{
 		{Name: "payments", Zones: zones, Slots: chainSlots, Connections: 400, Timeout: time.Second,
-			Backend: []string{"--service-time", chainServiceTime.String()}},
+			BackendFlags: []string{"--service-time", chainServiceTime.String()}},
 		{Name: "imagery", Zones: zones, Slots: 128, Connections: 800, Timeout: time.Second, Calls: []string{"payments"},
-			Backend: []string{"--service-time=2ms", "--call", "/order=payments:POST:/pay", "--call", "/page=payments:GET:/quote"}},
+			BackendFlags: []string{"--service-time=2ms", "--call", "/order=payments:POST:/pay", "--call", "/page=payments:GET:/quote"}},
 		{Name: "nursery", Zones: zones, Slots: 128, Connections: 800, Timeout: time.Second, Calls: []string{"imagery"},
-			Backend: []string{"--service-time=2ms", "--call", "/order=imagery:POST:/order", "--call", "/page=imagery:GET:/page"}},
+			BackendFlags: []string{"--service-time=2ms", "--call", "/order=imagery:POST:/order", "--call", "/page=imagery:GET:/page"}},
 	}
 }
 
@@ -81,15 +81,15 @@
 	for _, factor := range []float64{2, 5} {
 		goodput, ordersShare := map[string]float64{}, map[string]float64{}
 		for _, v := range []variant{product, fixedLimit, noControl} {
-			err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Bed) error {
-				_, r, err := b.load(ctx, callerAddresses(bed.Of("nursery")), chainKinds(0, 0),
+			err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Deployment) error {
+				_, r, err := b.load(ctx, callerAddresses(bed.PlacesOf("nursery")), chainKinds(0, 0),
 					standin.Constant(factor*chainCapacity), window)
 				if err != nil {
 					return err
 				}
 				printResults(fmt.Sprintf("%s at %.0fx", v.name, factor), r)
 				goodput[v.name] = float64(totalAnswered(r)) / window.seconds() / chainCapacity
-				ordersShare[v.name] = r.Kind("orders").Share()
+				ordersShare[v.name] = r.Kind("orders").AnsweredShare()
 				return nil
 			})
 			if err != nil {
@@ -115,8 +115,8 @@
 		{From: surge, Rate: 0.7 * chainCapacity}}}
 	recoverySecs, shareBefore := map[string]float64{}, map[string]float64{}
 	for _, v := range []variant{product, fixedLimit, noControl} {
-		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Bed) error {
-			all, _, err := b.load(ctx, callerAddresses(bed.Of("nursery")), chainKinds(3, callerTimeout/3), profile, window)
+		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Deployment) error {
+			all, _, err := b.load(ctx, callerAddresses(bed.PlacesOf("nursery")), chainKinds(3, callerTimeout/3), profile, window)
 			if err != nil {
 				return err
 			}
@@ -163,8 +163,8 @@
 	window := span{0, period/2 + swings*period}
 	riseTime, lowestGoodput, ordersShare := map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, v := range []variant{product, fixedLimit, noControl} {
-		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Bed) error {
-			all, _, err := b.load(ctx, callerAddresses(bed.Of("nursery")), chainKinds(0, 0), profile, window)
+		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Deployment) error {
+			all, _, err := b.load(ctx, callerAddresses(bed.PlacesOf("nursery")), chainKinds(0, 0), profile, window)
 			if err != nil {
 				return err
 			}
@@ -175,7 +175,7 @@
 				riseTime[v.name] = max(riseTime[v.name], timeToGoodput(all, crest, crest+period/2, goodputTarget*chainCapacity).Seconds())
 				lowestGoodput[v.name] = min(lowestGoodput[v.name], all.Goodput(crest+swingTarget, crest+period/2)/chainCapacity)
 			}
-			ordersShare[v.name] = all.Kind("orders").Share()
+			ordersShare[v.name] = all.Kind("orders").AnsweredShare()
 			return nil
 		})
 		if err != nil {
--- a/cmd/bench/control.go
+++ b/cmd/bench/control.go
@@ -48,7 +48,7 @@
 
 // controlRun holds the state and results of the measurement of one deployment.
 type controlRun struct {
-	bed        *testbed.Bed
+	bed        *testbed.Deployment
 	nodes      []*testbed.Place
 	extra      *testbed.Place
 	configText func(version int) (inventory, rules string)
@@ -132,13 +132,13 @@
 	r.nodes = slices.Clone(bed.Places)
 	readyCtx, cancel := context.WithTimeout(ctx, controlReadyTimeout)
 	defer cancel()
-	if err := bed.Up(readyCtx); err != nil {
+	if err := bed.WaitHealthy(readyCtx); err != nil {
 		return nil, err
 	}
 	if err := r.apply(readyCtx); err != nil {
 		return nil, err
 	}
-	if err := bed.Ready(readyCtx, 1); err != nil {
+	if err := bed.WaitReady(readyCtx, 1); err != nil {
 		return nil, err
 	}
 	fmt.Printf("- %d nodes: ready %.1f s after the start of the first; load average %s\n", size,
@@ -375,7 +375,7 @@
 	ctx, cancel := context.WithTimeout(ctx, controlReadyTimeout)
 	defer cancel()
 	for _, p := range nodes {
-		err := testbed.Until(ctx, "view of "+p.Node.Name, func(ctx context.Context) error {
+		err := testbed.PollUntil(ctx, "view of "+p.Node.Name, func(ctx context.Context) error {
 			n, err := metric(ctx, p, "gauges", "members")
 			if err == nil && int(n) != members-1 {
 				err = fmt.Errorf("%v other members instead of %d", n, members-1)
--- a/cmd/bench/overhead.go
+++ b/cmd/bench/overhead.go
@@ -21,21 +21,21 @@
 	services := []testbed.Service{
 		{Name: "front", Zones: []string{"rn-1"}, Slots: 64, Connections: 400, Timeout: time.Second},
 		{Name: "echo", Zones: []string{"rn-1"}, Slots: 64, Connections: 400, Timeout: time.Second,
-			Backend: []string{"--service-time=2ms", "--fixed"}},
+			BackendFlags: []string{"--service-time=2ms", "--fixed"}},
 	}
-	return b.deploy(ctx, product, services, plainRules, func(ctx context.Context, bed *testbed.Bed) error {
+	return b.deploy(ctx, product, services, plainRules, func(ctx context.Context, bed *testbed.Deployment) error {
 		window := span{3 * time.Second, 40 * time.Second}
 		rate := standin.Constant(overheadRate)
 		var direct, through *standin.Results
 		g := kernel.NewGroup(ctx)
 		g.Go("direct", func(ctx context.Context) (err error) {
 			kinds := []standin.Kind{{Name: "call", Method: "GET", Path: "/page", Weight: 1}}
-			_, direct, err = b.load(ctx, []string{bed.Of("echo")[0].BackendAddress}, kinds, rate, window)
+			_, direct, err = b.load(ctx, []string{bed.PlacesOf("echo")[0].BackendAddress}, kinds, rate, window)
 			return err
 		})
 		g.Go("through", func(ctx context.Context) (err error) {
 			kinds := []standin.Kind{{Name: "call", Method: "GET", Path: "/echo/page", Weight: 1}}
-			_, through, err = b.load(ctx, callerAddresses(bed.Of("front")), kinds, rate, window)
+			_, through, err = b.load(ctx, callerAddresses(bed.PlacesOf("front")), kinds, rate, window)
 			return err
 		})
 		if err := g.Wait(); err != nil {
@@ -48,7 +48,7 @@
 		b.addRow("time of a call, p99", "%.2f ms", ms(t.Quantile(99)), "direct call", ms(d.Quantile(99)), "", true)
 		b.addRow("time added, median", "%.2f ms", ms(t.Quantile(50)-d.Quantile(50)), "direct call", -1, "", true)
 		added := t.Quantile(99) - d.Quantile(99)
-		whole := t.Share() == 1 && d.Share() == 1
+		whole := t.AnsweredShare() == 1 && d.AnsweredShare() == 1
 		b.addRow("time added, p99", "%.2f ms", ms(added), "direct call", -1, "at most 0.73 ms", whole && added <= overheadTarget)
 		return nil
 	})
--- a/cmd/bench/tail.go
+++ b/cmd/bench/tail.go
@@ -26,20 +26,20 @@
 	return []testbed.Service{
 		{Name: "front", Zones: []string{"rn-1", "rn-2"}, Slots: 64, Connections: 400, Timeout: 2 * time.Second},
 		{Name: "maps", Zones: []string{"rn-1", "rn-1", "rn-1", "rn-2", "rn-2", "rn-2"}, Slots: tailSlots, Connections: 400,
-			Timeout: 2 * time.Second, Backend: append([]string{"--service-time", tailServiceTime.String()}, backend...)},
+			Timeout: 2 * time.Second, BackendFlags: append([]string{"--service-time", tailServiceTime.String()}, backend...)},
 	}
 }
 
 // tailP99 returns the p99 latency in ms of the calls of one deployment. It calls prepare before the load starts.
 func (b *bench) tailP99(ctx context.Context, v variant, name string, services []testbed.Service,
-	prepare func(ctx context.Context, bed *testbed.Bed) error) (p99 float64, err error) {
+	prepare func(ctx context.Context, bed *testbed.Deployment) error) (p99 float64, err error) {
 	rate := tailLoadShare * tailPlaces * tailSlots * float64(time.Second) / float64(tailServiceTime)
 	kinds := []standin.Kind{{Name: "call", Method: "GET", Path: "/maps/page", Weight: 1, Timeout: 2 * time.Second}}
-	err = b.deploy(ctx, v, services, plainRules, func(ctx context.Context, bed *testbed.Bed) error {
+	err = b.deploy(ctx, v, services, plainRules, func(ctx context.Context, bed *testbed.Deployment) error {
 		if err := prepare(ctx, bed); err != nil {
 			return err
 		}
-		_, r, err := b.load(ctx, callerAddresses(bed.Of("front")), kinds, standin.Constant(rate),
+		_, r, err := b.load(ctx, callerAddresses(bed.PlacesOf("front")), kinds, standin.Constant(rate),
 			span{4 * time.Second, 14 * time.Second})
 		if err != nil {
 			return err
@@ -51,7 +51,7 @@
 	return p99, err
 }
 
-func noop(context.Context, *testbed.Bed) error { return nil }
+func noop(context.Context, *testbed.Deployment) error { return nil }
 
 func runStragglers(ctx context.Context, b *bench) error {
 	values := map[string][2]float64{}
@@ -72,8 +72,8 @@
 
 func runSlowed(ctx context.Context, b *bench) error {
 	factor := slowdownFactor
-	slow := func(ctx context.Context, bed *testbed.Bed) error {
-		return bed.Of("maps")[0].SetFaults(ctx, standin.BackendFaults{SlowFactor: &factor})
+	slow := func(ctx context.Context, bed *testbed.Deployment) error {
+		return bed.PlacesOf("maps")[0].SetFaults(ctx, standin.BackendFaults{SlowFactor: &factor})
 	}
 	values := map[string][2]float64{}
 	for _, v := range []variant{product, roundRobin} {
--- a/cmd/demo/check.go
+++ b/cmd/demo/check.go
@@ -57,7 +57,7 @@
 	fmt.Fprintln(w, "request\tclass\tsent\tserved\tshed\trefused\tfailed\tunknown\tlate\tp50 ms\tp99 ms\t")
 	for i, k := range results.Kinds() {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Kind, kinds[i].class, k.Sent, k.Answered, k.Shed,
-			k.Refused, k.Failed, k.Unknown, k.Late, ms(k.Quantile(50)), ms(k.Quantile(99)))
+			k.Refused, k.Failed, k.Unknown, k.TimedOut, ms(k.Quantile(50)), ms(k.Quantile(99)))
 	}
 	_ = w.Flush()
 	for _, k := range results.Kinds() {
@@ -71,10 +71,10 @@
 
 func percent(share float64) string { return fmt.Sprintf("%.2f%%", 100*share) }
 
-func share(results *standin.Results, kind string) float64 { return results.Kind(kind).Share() }
+func share(results *standin.Results, kind string) float64 { return results.Kind(kind).AnsweredShare() }
 
 // checkUsualLoad checks that orders were answered and that each one ran in three services.
-func (d *demo) checkUsualLoad(usual *standin.Results, ran map[string][]standin.Ran) {
+func (d *demo) checkUsualLoad(usual *standin.Results, ran map[string][]standin.StartCounts) {
 	orders := usual.Kind(kindOrders).Answered
 	d.check(orders > 0 && share(usual, kindOrders) >= minImportantShare, "orders are answered under the usual load",
 		percent(share(usual, kindOrders)))
@@ -89,7 +89,7 @@
 
 // countOrders returns the number of orders on a path whose keys have a prefix. It counts an order once for each backend
 // server that ran it.
-func countOrders(all []standin.Ran, path, prefix string) int {
+func countOrders(all []standin.StartCounts, path, prefix string) int {
 	n := 0
 	for _, r := range all {
 		for key := range r.Orders {
@@ -126,7 +126,7 @@
 }
 
 // checkNoOrderRanTwice checks that no order started more than once in a service, over all its backend servers.
-func (d *demo) checkNoOrderRanTwice(ran map[string][]standin.Ran) {
+func (d *demo) checkNoOrderRanTwice(ran map[string][]standin.StartCounts) {
 	orders, duplicates := 0, 0
 	for _, all := range ran {
 		counts := map[string]int{}
@@ -146,7 +146,7 @@
 }
 
 // checkRefusedNotRun checks that a request whose sends were all refused as "not run" did not run in any service.
-func (d *demo) checkRefusedNotRun(ran map[string][]standin.Ran, results ...*standin.Results) {
+func (d *demo) checkRefusedNotRun(ran map[string][]standin.StartCounts, results ...*standin.Results) {
 	pathsByRequest := map[string][]string{}
 	for _, all := range ran {
 		for _, r := range all {
@@ -170,7 +170,7 @@
 		fmt.Sprintf("%d of %d refused %s", len(violations), refused, strings.Join(violations, "; ")))
 }
 
-func (d *demo) checkProcessesStopped(e testbed.Ended) {
+func (d *demo) checkProcessesStopped(e testbed.StopResult) {
 	d.check(len(e.Running)+len(e.Killed)+len(e.Failed) == 0, "every process stopped by itself",
 		fmt.Sprintf("%d processes; killed %v, failed %v, running %v", e.Processes, e.Killed, e.Failed, e.Running))
 }
--- a/cmd/demo/deployment.go
+++ b/cmd/demo/deployment.go
@@ -16,13 +16,13 @@
 func services() []testbed.Service {
 	return []testbed.Service{
 		{Name: "payments", Zones: []string{"rn-1", "rn-2"}, Slots: 4, Connections: 200, Timeout: time.Second,
-			Backend: []string{serviceTime}},
+			BackendFlags: []string{serviceTime}},
 		{Name: "imagery", Zones: []string{"rn-1", "rn-2", "ce-1"}, Slots: 4, Connections: 200, Timeout: time.Second,
-			Calls: []string{"payments"}, Backend: []string{serviceTime, "--call", "/proofs=payments:POST:/holds"}},
+			Calls: []string{"payments"}, BackendFlags: []string{serviceTime, "--call", "/proofs=payments:POST:/holds"}},
 		{Name: "nursery", Zones: []string{"rn-1", "rn-2"}, Slots: 4, Connections: 200, Timeout: time.Second,
-			Calls: []string{"imagery"}, Backend: []string{serviceTime, "--call", "/orders=imagery:POST:/proofs"}},
+			Calls: []string{"imagery"}, BackendFlags: []string{serviceTime, "--call", "/orders=imagery:POST:/proofs"}},
 		{Name: "maps", Zones: []string{"rn-1", "rn-2", "ce-1"}, Slots: 4, Connections: 200, Timeout: time.Second,
-			Calls: []string{"imagery"}, Backend: []string{serviceTime, "--call", "/maps/natal=imagery:GET:/tiles"}},
+			Calls: []string{"imagery"}, BackendFlags: []string{serviceTime, "--call", "/maps/natal=imagery:GET:/tiles"}},
 	}
 }
 
--- a/cmd/demo/play.go
+++ b/cmd/demo/play.go
@@ -29,7 +29,7 @@
 type demo struct {
 	seed    uint64
 	started time.Time
-	bed     *testbed.Bed
+	bed     *testbed.Deployment
 	checks  []check
 }
 
@@ -49,13 +49,13 @@
 	d.logf("started the platform, %d backend servers and %d nodes; seed %d", len(bed.Places), len(bed.Places), d.seed)
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := bed.Up(readyCtx); err != nil {
+	if err := bed.WaitHealthy(readyCtx); err != nil {
 		return err
 	}
 	if _, err := bed.Apply(readyCtx, testbed.Inventory(services()), rules); err != nil {
 		return err
 	}
-	if err := bed.Ready(readyCtx, 1); err != nil {
+	if err := bed.WaitReady(readyCtx, 1); err != nil {
 		return err
 	}
 	d.logf("configuration 1 is in force on every node")
@@ -88,7 +88,7 @@
 
 func (d *demo) offerUsualLoad(ctx context.Context) (*standin.Results, error) {
 	mix, rate := loadMix(func(k kind) float64 { return k.usualRate })
-	c := &standin.Caller{Addresses: d.bed.Callers(), Kinds: mix, Profile: standin.Constant(rate), Duration: usualLoadDuration,
+	c := &standin.Caller{Addresses: d.bed.CallerAddresses(), Kinds: mix, Profile: standin.Constant(rate), Duration: usualLoadDuration,
 		Seed: d.seed, Name: "usual"}
 	d.logf("offering the usual load, %.0f requests a second", rate)
 	return c.Run(ctx)
@@ -102,7 +102,7 @@
 		names = append(names, k.Name)
 	}
 	before, after = standin.NewResults(names), standin.NewResults(names)
-	c := &standin.Caller{Addresses: d.bed.Callers(), Kinds: mix, Profile: standin.Constant(rate), Duration: overloadDuration,
+	c := &standin.Caller{Addresses: d.bed.CallerAddresses(), Kinds: mix, Profile: standin.Constant(rate), Duration: overloadDuration,
 		Seed: d.seed + 1, Name: "overload", Observe: func(r standin.Result) {
 			switch {
 			case r.Arrived >= overloadWarmUp && r.Arrived < configChangeAt:
@@ -134,7 +134,7 @@
 	if _, err := d.bed.Apply(timeoutCtx, testbed.Inventory(services()), rulesWithWeatherMoved()); err != nil {
 		return err
 	}
-	err := d.bed.Ready(timeoutCtx, 2)
+	err := d.bed.WaitReady(timeoutCtx, 2)
 	took := time.Since(start)
 	d.logf("configuration 2 is in force on every node after %s: weather moved to class lookups", took.Round(time.Millisecond))
 	d.check(err == nil, "a change is in force everywhere within 14 s", fmt.Sprintf("%s %v", took.Round(time.Millisecond), errText(err)))
@@ -149,10 +149,10 @@
 }
 
 // collectRuns returns by service what the backend servers ran.
-func (d *demo) collectRuns(ctx context.Context) (map[string][]standin.Ran, error) {
-	all := map[string][]standin.Ran{}
+func (d *demo) collectRuns(ctx context.Context) (map[string][]standin.StartCounts, error) {
+	all := map[string][]standin.StartCounts{}
 	for _, p := range d.bed.Places {
-		r, err := p.Ran(ctx)
+		r, err := p.StartCounts(ctx)
 		if err != nil {
 			return nil, err
 		}
--- a/command/apply.go
+++ b/command/apply.go
@@ -175,7 +175,7 @@
 // changesInVersion returns the differences between an accepted configuration and the version before it.
 func changesInVersion(ctx context.Context, store tablestore.Store, a rollout.Accepted) ([]inventory.Change, error) {
 	var old *inventory.Config
-	before, found, err := rollout.Version(ctx, store, a.Version-1)
+	before, found, err := rollout.AcceptedVersion(ctx, store, a.Version-1)
 	if err != nil {
 		return nil, err
 	}
@@ -196,7 +196,7 @@
 
 // watchRollout polls the nodes until all of them have the version in force or the wait time has passed.
 func watchRollout(ctx context.Context, f *applyFlags, result *applyResult) error {
-	fl, err := fleet.Open(f.keys)
+	fl, err := fleet.New(f.keys)
 	if err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 	}
 	fl.Notify(ctx, members)
 	for {
-		result.InForce, result.Pending = countInForce(fleet.AskAll[fleet.Version](ctx, fl, members, fleet.PathVersion), result.Version)
+		result.InForce, result.Pending = countInForce(fleet.GetAll[fleet.Version](ctx, fl, members, fleet.PathVersion), result.Version)
 		if len(result.Pending) == 0 || ctx.Err() != nil {
 			return nil
 		}
--- a/command/check.go
+++ b/command/check.go
@@ -37,6 +37,6 @@
 	if format == formatJSON {
 		return writeProblems(env, nil)
 	}
-	fmt.Fprintf(env.Out, "ok: %d services, %d requests, no problems\n", len(cfg.Services()), len(cfg.Requests()))
+	fmt.Fprintf(env.Out, "ok: %d services, %d requests, no problems\n", len(cfg.Services()), len(cfg.RequestRules()))
 	return nil
 }
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -141,14 +141,14 @@
 		return os.ErrPermission
 	}
 	t.Cleanup(func() { command.RunNode = nil })
-	t.Setenv(settings.Variable, text)
+	t.Setenv(settings.EnvironmentVariable, text)
 	code, _, err := run("node")
 	require.Equal(t, command.CodeProblem, code)
 	require.Equal(t, "lovagelane: permission denied\n", err)
 	code, out, _ := run("node", "--check")
 	require.Equal(t, command.CodeOK, code)
 	require.Equal(t, "ok: node of service maps in rn-1\n", out)
-	t.Setenv(settings.Variable, text+"key = e\n")
+	t.Setenv(settings.EnvironmentVariable, text+"key = e\n")
 	code, _, err = run("node")
 	require.Equal(t, command.CodeProblem, code)
 	require.Equal(t, "LOVAGELANE_SETTINGS:15: key is set twice in [keys]: keep one of the lines 12 and 15\n", err)
--- a/command/drain.go
+++ b/command/drain.go
@@ -31,13 +31,13 @@
 }
 
 func drain(env *Env, address, keysDir string) error {
-	fl, err := fleet.Open(keysDir)
+	fl, err := fleet.New(keysDir)
 	if err != nil {
 		return problem(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	if err := fl.Ask(ctx, address, http.MethodPost, fleet.PathDrain, nil); err != nil {
+	if err := fl.Request(ctx, address, http.MethodPost, fleet.PathDrain, nil); err != nil {
 		return Exit{Code: CodeNotAccepted, Err: err}
 	}
 	fmt.Fprintf(env.Out, "drained: %s takes no calls and none is in flight, it can be stopped\n", address)
--- a/command/report.go
+++ b/command/report.go
@@ -36,11 +36,11 @@
 	if err != nil {
 		return err
 	}
-	var answers []burn.Answer
-	for _, a := range fleet.AskAll[burn.Snapshot](ctx, fl, members, fleet.PathBurn) {
-		answers = append(answers, burn.Answer{Address: a.Member.Calls, Snapshot: a.Value, Err: a.Err})
+	var answers []burn.NodeAnswer
+	for _, a := range fleet.GetAll[burn.Snapshot](ctx, fl, members, fleet.PathBurn) {
+		answers = append(answers, burn.NodeAnswer{Address: a.Member.Calls, Snapshot: a.Value, Err: a.Err})
 	}
-	rep := burn.NewReport(burn.Gather(answers), time.Now())
+	rep := burn.NewReport(burn.MergeAnswers(answers), time.Now())
 	if err := rep.WriteText(env.Out); err != nil {
 		return problem(err)
 	}
--- a/command/report_test.go
+++ b/command/report_test.go
@@ -47,7 +47,7 @@
 		text, _ := recorder.JSON()
 		_, _ = w.Write(text)
 	})
-	server := &http.Server{Handler: mux, TLSConfig: keyring.Server("http/1.1")}
+	server := &http.Server{Handler: mux, TLSConfig: keyring.ServerConfig("http/1.1")}
 	g := kernel.NewGroup(context.Background())
 	g.Go("node", func(context.Context) error {
 		if err := server.ServeTLS(l, "", ""); !errors.Is(err, http.ErrServerClosed) {
--- a/command/status.go
+++ b/command/status.go
@@ -42,7 +42,7 @@
 	if err := r.validate(); err != nil {
 		return nil, nil, err
 	}
-	f, err := fleet.Open(r.keys)
+	f, err := fleet.New(r.keys)
 	if err != nil {
 		return nil, nil, problem(err)
 	}
@@ -88,7 +88,7 @@
 	}
 	suspects := map[string]int{}
 	records := []nodeRecord{}
-	for _, a := range fleet.AskAll[node.Status](ctx, fl, members, fleet.PathStatus) {
+	for _, a := range fleet.GetAll[node.Status](ctx, fl, members, fleet.PathStatus) {
 		rec := nodeRecord{ID: a.Member.ID, Service: a.Member.Service, AvailabilityZone: a.Member.AvailabilityZone,
 			Calls: a.Member.Calls, State: string(a.Member.State)}
 		if a.Err != nil {
--- a/control/config.go
+++ b/control/config.go
@@ -24,16 +24,16 @@
 func (c *Control) loadedVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.adopter.Held()
+	return c.adopter.LocalVersion()
 }
 
 // recordPeerVersion records the configuration version that a peer has loaded and pulls the text if that version is higher.
 func (c *Control) recordPeerVersion(p *peer, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.adopter.PeerSays(p.id, version)
+	c.adopter.SetPeerVersion(p.id, version)
 	now := c.now()
-	if !c.adopter.Wanted(version) || version <= c.unreadableVersion {
+	if !c.adopter.IsNewer(version) || version <= c.unreadableVersion {
 		return
 	}
 	if version <= c.pullVersion && now.Before(c.pullDeadline) {
@@ -64,7 +64,7 @@
 // skipped, so that the current configuration stays in force.
 func (c *Control) loadConfig(version uint64, hash string, body []byte) {
 	c.mu.Lock()
-	wanted := c.adopter.Wanted(version)
+	wanted := c.adopter.IsNewer(version)
 	c.mu.Unlock()
 	if !wanted {
 		return
@@ -78,7 +78,7 @@
 		c.log.Error("config-unreadable", "version", version, "error", err)
 		return
 	}
-	if !c.adopter.Hold(c.now(), version) {
+	if !c.adopter.SetLocalVersion(c.now(), version) {
 		return
 	}
 	c.loaded = loadedConfig{version: version, hash: hash, body: body, config: config}
@@ -101,7 +101,7 @@
 
 // adopt puts the loaded version in force if the adopter allows it. The caller must hold c.mu.
 func (c *Control) adopt(now time.Time) {
-	if c.adopter.Held() == c.adopter.InForce() {
+	if c.adopter.LocalVersion() == c.adopter.InForce() {
 		return
 	}
 	version, ok := c.adopter.Adopt(now, c.regionPeerIDs(), c.synced)
@@ -142,9 +142,9 @@
 		return
 	}
 	c.mu.Lock()
-	c.adopter.StoreSays(accepted.Version)
+	c.adopter.SetStoreVersion(accepted.Version)
 	c.storeStatus.ConfigRead = true
-	wanted := ok && c.adopter.Wanted(accepted.Version) && accepted.Version > c.unreadableVersion
+	wanted := ok && c.adopter.IsNewer(accepted.Version) && accepted.Version > c.unreadableVersion
 	c.mu.Unlock()
 	if !wanted {
 		return
@@ -275,7 +275,7 @@
 func (c *Control) listDue(lastListed time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.synced || len(c.peers) == 0 || c.rings.HoldsLinks(c.view.Self()) {
+	if !c.synced || len(c.peers) == 0 || c.rings.IsLinkNode(c.view.Self()) {
 		return true
 	}
 	return c.now().Sub(lastListed) >= c.tuning.rareListInterval
--- a/control/control.go
+++ b/control/control.go
@@ -169,7 +169,7 @@
 	}
 	c.udp = udp
 	c.transport = &quic.Transport{Conn: udp}
-	c.listener, err = c.transport.Listen(c.tuning.tls.Server(protocol), c.quicConfig())
+	c.listener, err = c.transport.Listen(c.tuning.tls.ServerConfig(protocol), c.quicConfig())
 	if err != nil {
 		return errors.Join(err, c.closeTransport())
 	}
@@ -232,10 +232,10 @@
 // otherMembers returns the live members except this node. The slice is cached until the view changes, so callers that pass it
 // on must copy it. The caller must hold c.mu.
 func (c *Control) otherMembers() []membership.Member {
-	if c.cachedChanges != c.view.Changes() {
+	if c.cachedChanges != c.view.ChangeCount() {
 		self := c.view.Self().ID
 		c.cachedOthers = slices.DeleteFunc(c.view.Live(), func(m membership.Member) bool { return m.ID == self })
-		c.cachedChanges = c.view.Changes()
+		c.cachedChanges = c.view.ChangeCount()
 	}
 	return c.cachedOthers
 }
@@ -250,7 +250,7 @@
 }
 
 // SpreadCrash floods crash reports to all nodes.
-func (c *Control) SpreadCrash(reports []quarantine.Report) {
+func (c *Control) FloodCrashes(reports []quarantine.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range reports {
@@ -311,7 +311,7 @@
 		case <-c.changed:
 		}
 		c.mu.Lock()
-		members, inForce, current := []membership.Member(nil), c.inForce, c.view.Changes()
+		members, inForce, current := []membership.Member(nil), c.inForce, c.view.ChangeCount()
 		if current != lastChanges {
 			members = slices.Clone(c.otherMembers())
 		}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -112,8 +112,8 @@
 	nodes := startNodes(t, 6, nil)
 	eventually(t, "all nodes see each other", allSee(nodes, 6))
 	report := quarantine.Report{Digest: 7, Crash: "n00/1"}
-	nodes[0].SpreadCrash([]quarantine.Report{report})
-	nodes[0].SpreadCrash([]quarantine.Report{report})
+	nodes[0].FloodCrashes([]quarantine.Report{report})
+	nodes[0].FloodCrashes([]quarantine.Report{report})
 	later := quarantine.Report{Digest: 7, Crash: "n00/2"}
 	eventually(t, "the first report is everywhere", func() bool {
 		for _, n := range nodes[1:] {
@@ -123,7 +123,7 @@
 		}
 		return true
 	})
-	nodes[0].SpreadCrash([]quarantine.Report{later})
+	nodes[0].FloodCrashes([]quarantine.Report{later})
 	eventually(t, "the second report is everywhere", func() bool {
 		for _, n := range nodes[1:] {
 			if got := n.crashReports(); got[len(got)-1] != later {
@@ -190,7 +190,7 @@
 
 	operator, err := keys.Load(keys.PathsIn(dir, keys.RoleOperator))
 	require.NoError(t, err)
-	conn, err := quic.DialAddr(t.Context(), seeds[0], operator.Client(protocol), &quic.Config{})
+	conn, err := quic.DialAddr(t.Context(), seeds[0], operator.ClientConfig(protocol), &quic.Config{})
 	if err == nil {
 		// The client's handshake ends before the server has checked its certificate.
 		<-conn.Context().Done()
--- a/control/fault_test.go
+++ b/control/fault_test.go
@@ -257,7 +257,7 @@
 // dialRaw connects to a node as a peer whose frames the test writes itself.
 func dialRaw(t *testing.T, n *testNode) (*quic.Conn, *quic.Stream) {
 	t.Helper()
-	conn, err := quic.DialAddr(t.Context(), n.Address(), sharedKeys().Client(protocol), &quic.Config{})
+	conn, err := quic.DialAddr(t.Context(), n.Address(), sharedKeys().ClientConfig(protocol), &quic.Config{})
 	require.NoError(t, err)
 	stream, err := conn.OpenStreamSync(t.Context())
 	require.NoError(t, err)
@@ -304,7 +304,7 @@
 		_, err := readFrame(stream)
 		require.NoError(t, err)
 	}
-	conn, err := quic.DialAddr(t.Context(), n.Address(), sharedKeys().Client(protocol), &quic.Config{})
+	conn, err := quic.DialAddr(t.Context(), n.Address(), sharedKeys().ClientConfig(protocol), &quic.Config{})
 	require.NoError(t, err)
 	<-conn.Context().Done()
 	var closed *quic.ApplicationError
@@ -327,7 +327,7 @@
 	require.NoError(t, err)
 	foreign := selfSignedKeys(key)
 	foreign.pool = sharedKeys().pool
-	conn, err := quic.DialAddr(t.Context(), n.Address(), foreign.Client(protocol), &quic.Config{})
+	conn, err := quic.DialAddr(t.Context(), n.Address(), foreign.ClientConfig(protocol), &quic.Config{})
 	if err == nil {
 		// The client's handshake ends before the server has checked its certificate.
 		<-conn.Context().Done()
--- a/control/frame.go
+++ b/control/frame.go
@@ -59,7 +59,7 @@
 		Members []membership.Member `cbor:"1,keyasint"`
 	}
 	suspect struct {
-		Marks []membership.Mark `cbor:"1,keyasint"`
+		Marks []membership.Suspicion `cbor:"1,keyasint"`
 	}
 	digest struct {
 		Buckets []uint64 `cbor:"1,keyasint"`
--- a/control/frame_test.go
+++ b/control/frame_test.go
@@ -34,7 +34,7 @@
 
 // Guards against frames that decode to other values than were encoded, and against full frames that exceed the size limit.
 func TestFramesRoundTrip(t *testing.T) {
-	mark := membership.Mark{ID: maxMember().ID, Counter: 1 << 60, Dead: true}
+	mark := membership.Suspicion{ID: maxMember().ID, Counter: 1 << 60, Dead: true}
 	report := quarantine.Report{Digest: 1 << 63, Crash: strings.Repeat("c", 128), Cleared: true}
 	frames := []Frame{
 		hello{Member: maxMember(), ConfigVersion: 7},
--- a/control/handle.go
+++ b/control/handle.go
@@ -38,7 +38,7 @@
 func (c *Control) hello() hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return hello{Member: c.view.Self(), ConfigVersion: c.adopter.Held()}
+	return hello{Member: c.view.Self(), ConfigVersion: c.adopter.LocalVersion()}
 }
 
 // rejectWrongPeer reports whether the peer is this node itself or another member than the wanted one. If another member
@@ -53,7 +53,7 @@
 	if wantID == "" || wantID == h.Member.ID {
 		return false
 	}
-	if c.view.Remove(c.now(), wantID) {
+	if c.view.MarkDead(c.now(), wantID) {
 		c.pendingFlood[wantID] = nil
 	}
 	c.merge(p, h.Member, true)
@@ -113,10 +113,10 @@
 	}
 }
 
-func (c *Control) mergeMarks(p *peer, marks []membership.Mark) {
+func (c *Control) mergeMarks(p *peer, marks []membership.Suspicion) {
 	c.mu.Lock()
 	for _, k := range marks {
-		if c.view.MergeMark(c.now(), k) {
+		if c.view.MergeSuspicion(c.now(), k) {
 			c.pendingFlood[k.ID] = p
 		}
 	}
@@ -176,7 +176,7 @@
 // sendMissing sends the members of the buckets that the peer did not list in its diff. The caller must hold c.mu.
 func (c *Control) sendMissing(p *peer, buckets []int) {
 	var missing []membership.Member
-	for _, m := range c.view.InParts(buckets) {
+	for _, m := range c.view.InBuckets(buckets) {
 		if _, ok := p.diffIDs[m.ID]; !ok {
 			missing = append(missing, m)
 		}
@@ -242,14 +242,14 @@
 
 func (c *Control) flushTo(p *peer) {
 	var members []membership.Member
-	var marks []membership.Mark
+	var marks []membership.Suspicion
 	for id, origin := range c.pendingFlood {
 		m, ok := c.view.Get(id)
 		if !ok || origin == p {
 			continue
 		}
 		if m.Suspected || m.Dead {
-			marks = append(marks, membership.Mark{ID: m.ID, Counter: m.Counter, Dead: m.Dead})
+			marks = append(marks, membership.Suspicion{ID: m.ID, Counter: m.Counter, Dead: m.Dead})
 		} else {
 			members = append(members, m)
 		}
--- a/control/helper_test.go
+++ b/control/helper_test.go
@@ -61,14 +61,14 @@
 	return testKeys{certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, pool: pool}
 }
 
-func (k testKeys) Server(protocols ...string) *tls.Config {
+func (k testKeys) ServerConfig(protocols ...string) *tls.Config {
 	return &tls.Config{
 		Certificates: []tls.Certificate{k.certificate}, ClientCAs: k.pool,
 		ClientAuth: tls.RequireAndVerifyClientCert, NextProtos: protocols, MinVersion: tls.VersionTLS13,
 	}
 }
 
-func (k testKeys) Client(protocols ...string) *tls.Config {
+func (k testKeys) ClientConfig(protocols ...string) *tls.Config {
 	return &tls.Config{
 		Certificates: []tls.Certificate{k.certificate}, RootCAs: k.pool, NextProtos: protocols, MinVersion: tls.VersionTLS13,
 	}
--- a/control/peer.go
+++ b/control/peer.go
@@ -249,7 +249,7 @@
 	if err != nil {
 		return nil, hello{}, err
 	}
-	conn, err := c.transport.Dial(ctxDial, net.UDPAddrFromAddrPort(remote), c.tuning.tls.Client(protocol), c.quicConfig())
+	conn, err := c.transport.Dial(ctxDial, net.UDPAddrFromAddrPort(remote), c.tuning.tls.ClientConfig(protocol), c.quicConfig())
 	if err != nil {
 		return nil, hello{}, err
 	}
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -44,7 +44,7 @@
 		{"heartbeat", heartbeat{ConfigVersion: 1000}},
 		{"announce-1", announce{Members: members[:1]}},
 		{"announce-64", announce{Members: members}},
-		{"suspect-1", suspect{Marks: []membership.Mark{{ID: members[0].ID, Counter: 3}}}},
+		{"suspect-1", suspect{Marks: []membership.Suspicion{{ID: members[0].ID, Counter: 3}}}},
 		{"digest", digestFrame(view.Digest())},
 		{"diff-equal", diff{Last: true}},
 		{"diff-one-part-of-590", diff{Buckets: []int{17}, Members: members[:10], Last: true}},
@@ -108,7 +108,7 @@
 			c, err := start(context.Background(), Options{Self: typicalMember(0), Listen: "127.0.0.1:0"}, t)
 			require.NoError(b, err)
 			c.mu.Lock()
-			c.adopter.StoreSays(1)
+			c.adopter.SetStoreVersion(1)
 			for i := range size {
 				m := typicalMember(i + 1)
 				m.Control = fmt.Sprintf("127.0.1.%d:%d", i%250+1, i+1)
--- a/control/status.go
+++ b/control/status.go
@@ -55,14 +55,14 @@
 		Version:        c.inForce.version,
 		Hash:           c.inForce.hash,
 		InForceSince:   c.inForceAt,
-		LoadedVersion:  c.adopter.Held(),
-		HighestVersion: c.adopter.Heard(),
+		LoadedVersion:  c.adopter.LocalVersion(),
+		HighestVersion: c.adopter.HighestKnown(),
 		Store:          c.storeStatus,
 	}
 	for p := range c.peers {
 		s.Peers = append(s.Peers, PeerStatus{
 			ID: p.id, Address: p.address, Outgoing: p.outgoing, Since: p.since,
-			LastReceived: time.Unix(0, p.lastReceived.Load()), ConfigVersion: c.adopter.PeerHolds(p.id),
+			LastReceived: time.Unix(0, p.lastReceived.Load()), ConfigVersion: c.adopter.PeerVersion(p.id),
 		})
 	}
 	slices.SortFunc(s.Peers, func(a, b PeerStatus) int { return strings.Compare(a.ID+a.Address, b.ID+b.Address) })
--- a/control/tuning.go
+++ b/control/tuning.go
@@ -13,23 +13,23 @@
 
 // tlsSource provides the TLS settings of both sides of a connection; keys.Keyring implements it.
 type tlsSource interface {
-	Server(protocols ...string) *tls.Config
-	Client(protocols ...string) *tls.Config
+	ServerConfig(protocols ...string) *tls.Config
+	ClientConfig(protocols ...string) *tls.Config
 }
 
 // nodeOnlyKeyring rejects operators' keys on incoming connections, because a control peer can change the view of all nodes.
 type nodeOnlyKeyring struct{ *keys.Keyring }
 
 // Server returns the keyring's server settings with an additional check that the peer has the node role.
-func (n nodeOnlyKeyring) Server(protocols ...string) *tls.Config {
-	c := n.Keyring.Server(protocols...)
+func (n nodeOnlyKeyring) ServerConfig(protocols ...string) *tls.Config {
+	c := n.Keyring.ServerConfig(protocols...)
 	verify := c.VerifyConnection
 	c.VerifyConnection = func(s tls.ConnectionState) error {
 		if err := verify(s); err != nil {
 			return err
 		}
 		if role, err := keys.PeerRole(s); err != nil || role != keys.RoleNode {
-			return keys.Refused.New("a control peer with the role %q: start it with a node's key", role)
+			return keys.PeerRefused.New("a control peer with the role %q: start it with a node's key", role)
 		}
 		return nil
 	}
--- a/control/watch.go
+++ b/control/watch.go
@@ -57,7 +57,7 @@
 		region = c.announcedRegion()
 	}
 	if region != self.Region || slots != self.Slots {
-		c.view.SetPlace(now, region, slots)
+		c.view.SetRegionAndSlots(now, region, slots)
 		c.pendingFlood[self.ID] = nil
 	}
 }
@@ -113,10 +113,10 @@
 		// Stop still needs the connections to announce that the node has left.
 		return
 	}
-	if c.view.Roster() != c.ringsRoster || c.loaded.version != c.ringsConfigVersion {
-		c.ringsRoster, c.ringsConfigVersion = c.view.Roster(), c.loaded.version
+	if c.view.RosterVersion() != c.ringsRoster || c.loaded.version != c.ringsConfigVersion {
+		c.ringsRoster, c.ringsConfigVersion = c.view.RosterVersion(), c.loaded.version
 		c.rings = membership.NewRings(c.withConfiguredRegions(c.view.Live()))
-		c.adopter.Forget(c.view.IsLive)
+		c.adopter.RetainPeers(c.view.IsLive)
 	}
 	wanted := map[string]membership.Member{}
 	successors := map[string]bool{}
@@ -154,7 +154,7 @@
 	var candidates []membership.Member
 	for _, id := range c.regionPeerIDs() {
 		m, ok := c.view.Get(id)
-		if ok && !m.Suspected && !c.adopter.Answered(id) {
+		if ok && !m.Suspected && !c.adopter.HasPeerVersion(id) {
 			candidates = append(candidates, m)
 		}
 		if len(candidates) == maxBootstrapPeers {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -44,7 +44,7 @@
 type Incarnation struct {
 	ID string `cbor:"1,keyasint"`
 	// Born is the start time in Unix milliseconds, which distinguishes processes with the same id.
-	Born int64 `cbor:"2,keyasint"`
+	StartMillis int64 `cbor:"2,keyasint"`
 }
 
 // Node is the state that a node publishes about itself and its backend server.
@@ -127,7 +127,7 @@
 
 // Seen records the state that a node reported over a connection, which is newer than its row, and reports whether it
 // changed. It ignores nodes without a row.
-func (d *Directory) Seen(n Node) bool {
+func (d *Directory) MergeReport(n Node) bool {
 	e, known := d.entries[n.Address]
 	if !n.Valid() || !known || e.Removed || d.latest(e) == n {
 		return false
@@ -212,7 +212,7 @@
 }
 
 // Hold stores the leaving of another node's backend server, which that node could not write to the store.
-func (d *Directory) Hold(address string, b Incarnation) {
+func (d *Directory) AddPendingDeparture(address string, b Incarnation) {
 	if d.pendingLeavings == nil {
 		d.pendingLeavings = map[string]Incarnation{}
 	}
@@ -222,7 +222,7 @@
 }
 
 // Held returns the pending leaving of a node.
-func (d *Directory) Held(address string) (Incarnation, bool) {
+func (d *Directory) PendingDeparture(address string) (Incarnation, bool) {
 	b, ok := d.pendingLeavings[address]
 	return b, ok
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -57,12 +57,12 @@
 	var d directory.Directory
 	d.Merge(entry("a", 3, "maps"))
 	n := entry("a", 0, "nursery").Node
-	require.True(t, d.Seen(n))
-	require.False(t, d.Seen(n))
+	require.True(t, d.MergeReport(n))
+	require.False(t, d.MergeReport(n))
 	require.Equal(t, "nursery", d.Nodes()[0].Service)
 	d.Merge(entry("a", 4, "imagery"))
 	require.Equal(t, "imagery", d.Nodes()[0].Service)
-	require.False(t, d.Seen(entry("unknown", 0, "maps").Node))
+	require.False(t, d.MergeReport(entry("unknown", 0, "maps").Node))
 }
 
 // Guards against malformed rows of another writer that are accepted as nodes.
--- a/directory/tracker.go
+++ b/directory/tracker.go
@@ -1,15 +1,15 @@
 package directory
 
 // Heard is the state change that an announcement of a backend server causes at its node.
-type Heard uint8
+type Transition uint8
 
 const (
 	// HeardNothing means that the announcement is outdated or changes nothing.
-	HeardNothing Heard = iota
+	NoTransition Transition = iota
 	// HeardServing means that the backend server accepts calls from now on.
-	HeardServing
+	BecameServing
 	// HeardLeaving means that the backend server accepts no new calls from now on.
-	HeardLeaving
+	BecameLeaving
 )
 
 // maxLeaving bounds the leaving incarnations that a Tracker stores.
@@ -30,16 +30,16 @@
 func (t *Tracker) Current() (Incarnation, State) { return t.current, t.state }
 
 // Hear processes an announcement and returns the state change that it causes.
-func (t *Tracker) Hear(b Incarnation, sequence uint64, leaving bool) Heard {
+func (t *Tracker) Observe(b Incarnation, sequence uint64, leaving bool) Transition {
 	switch {
-	case b.Born < t.current.Born:
-		return HeardNothing
+	case b.StartMillis < t.current.StartMillis:
+		return NoTransition
 	case b == t.current:
 		if sequence <= t.sequence && !leaving {
-			return HeardNothing
+			return NoTransition
 		}
-	case b.Born == t.current.Born && t.state != Absent:
-		return HeardNothing
+	case b.StartMillis == t.current.StartMillis && t.state != Absent:
+		return NoTransition
 	}
 	isNew := b != t.current
 	t.current, t.sequence = b, max(sequence, t.sequence)
@@ -52,16 +52,16 @@
 	switch {
 	case t.isLeaving(b) && t.state != Leaving:
 		t.state = Leaving
-		return HeardLeaving
+		return BecameLeaving
 	case !t.isLeaving(b) && t.state != Serving:
 		t.state = Serving
-		return HeardServing
+		return BecameServing
 	}
-	return HeardNothing
+	return NoTransition
 }
 
 // Left records that an incarnation is leaving and reports whether the state of the current one changed.
-func (t *Tracker) Left(b Incarnation) bool {
+func (t *Tracker) MarkLeaving(b Incarnation) bool {
 	t.addLeaving(b)
 	if b != t.current || t.state == Leaving || t.state == Absent {
 		return false
@@ -79,7 +79,7 @@
 
 // Lost records that the current incarnation is unreachable, so that only a later announcement makes it serve again, and
 // reports whether it was serving.
-func (t *Tracker) Lost() bool {
+func (t *Tracker) MarkUnreachable() bool {
 	if t.state != Serving {
 		return false
 	}
--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -68,7 +68,7 @@
 	// Exclude holds the addresses that the call must not be sent to again.
 	Exclude kernel.Set[string]
 	// Within is the longest total time that the call may wait in queues.
-	Within time.Duration
+	MaxWait time.Duration
 }
 
 // Choice names the backend server that takes a call.
@@ -76,9 +76,9 @@
 	Address string
 	// Wait is the longest time that the call may wait in the queue there. Beyond it, the second-best candidate would have
 	// cost less.
-	Wait time.Duration
+	MaxWait time.Duration
 	// Region and Zone report whether the call leaves its region or its availability zone.
-	Region, Zone bool
+	CrossRegion, CrossZone bool
 }
 
 // Outcome is the observed result of a call: Answered, Capped, Unusable, Failed or Ended.
@@ -86,8 +86,8 @@
 
 // Answered means that the backend server ran the call; Ran is the run time.
 type Answered struct {
-	Route string
-	Ran   time.Duration
+	Route   string
+	RunTime time.Duration
 }
 
 // Capped means that the backend server accepts no more calls of the route now, because services that it calls are short of
@@ -102,13 +102,13 @@
 
 // Ended means that the call says nothing about the backend server beyond its reported load: no slot became free in time, the
 // caller disconnected, or the deadline passed.
-type Ended struct{}
+type Inconclusive struct{}
 
-func (Answered) outcome() {}
-func (Capped) outcome()   {}
-func (Unusable) outcome() {}
-func (Failed) outcome()   {}
-func (Ended) outcome()    {}
+func (Answered) outcome()     {}
+func (Capped) outcome()       {}
+func (Unusable) outcome()     {}
+func (Failed) outcome()       {}
+func (Inconclusive) outcome() {}
 
 // Chooser tracks the load, run time and failures of all backend servers and chooses among them. The caller serializes
 // access to it. Its zero value has no candidates.
@@ -116,7 +116,7 @@
 	home      balance.Place
 	peers     map[string]*peer
 	byService map[string][]*peer
-	typical   *kernel.Table[string, float64]
+	typical   *kernel.LRU[string, float64]
 }
 
 type peer struct {
@@ -134,7 +134,7 @@
 	avoidedUntil  time.Time
 	backoff       time.Duration
 	// cappedUntil maps a route to the time until which the backend server is excluded for it.
-	cappedUntil *kernel.Table[string, time.Time]
+	cappedUntil *kernel.LRU[string, time.Time]
 }
 
 // Update replaces the candidates and keeps the observations of those that remain.
@@ -184,20 +184,20 @@
 		}
 		best = fallback
 	}
-	wait := q.Within
+	wait := q.MaxWait
 	if second != nil {
-		wait = min(wait, notNegative(secondCost-bestCost)+best.queueWait(now, c.Typical(q.Route)))
+		wait = min(wait, notNegative(secondCost-bestCost)+best.queueWait(now, c.TypicalRunTime(q.Route)))
 	}
 	best.sentSinceReport++
-	return Choice{Address: best.candidate.Address, Wait: wait, Region: best.candidate.Place.Region != c.home.Region,
-		Zone: best.candidate.Place != c.home}, true
+	return Choice{Address: best.candidate.Address, MaxWait: wait, CrossRegion: best.candidate.Place.Region != c.home.Region,
+		CrossZone: best.candidate.Place != c.home}, true
 }
 
 func notNegative(d time.Duration) time.Duration { return max(d, 0) }
 
 // cost returns the expected time to the answer plus the penalties for distance, failures and utilization.
 func (c *Chooser) cost(now time.Time, p *peer, q Query, random *kernel.Rand) time.Duration {
-	typical := c.Typical(q.Route)
+	typical := c.TypicalRunTime(q.Route)
 	cost := time.Duration(float64(typical)*p.runTimeRatio(now)) + p.queueWait(now, typical)
 	objective := q.Objective
 	if objective == 0 {
@@ -216,7 +216,7 @@
 }
 
 // Typical returns the typical run time of a route's calls, a moving average.
-func (c *Chooser) Typical(route string) time.Duration {
+func (c *Chooser) TypicalRunTime(route string) time.Duration {
 	if c.typical != nil {
 		if seconds := c.typical.Get(route); seconds != nil {
 			return time.Duration(*seconds * float64(time.Second))
@@ -279,14 +279,14 @@
 }
 
 // Report records the load that a node reported for its backend server.
-func (c *Chooser) Report(now time.Time, address string, l slots.Load) {
+func (c *Chooser) RecordLoad(now time.Time, address string, l slots.Load) {
 	if p := c.peers[address]; p != nil {
 		p.load, p.loadAt, p.sentSinceReport = l, now, 0
 	}
 }
 
 // Learn records the outcome of a call to a backend server.
-func (c *Chooser) Learn(now time.Time, address string, o Outcome) {
+func (c *Chooser) RecordOutcome(now time.Time, address string, o Outcome) {
 	p := c.peers[address]
 	if p == nil {
 		return
@@ -306,15 +306,15 @@
 		p.updateFailureRate(now, 1)
 	case Capped:
 		if p.cappedUntil == nil {
-			p.cappedUntil = kernel.NewTable[string, time.Time](maxRouteCaps)
+			p.cappedUntil = kernel.NewLRU[string, time.Time](maxRouteCaps)
 		}
-		*p.cappedUntil.Put(o.Route) = now.Add(routeCapTTL)
-	case Ended:
+		*p.cappedUntil.GetOrAdd(o.Route) = now.Add(routeCapTTL)
+	case Inconclusive:
 	}
 }
 
 // Usable ends the avoidance of a backend server that is known to be ready again.
-func (c *Chooser) Usable(address string) {
+func (c *Chooser) MarkUsable(address string) {
 	if p := c.peers[address]; p != nil {
 		p.avoidedUntil, p.backoff = time.Time{}, 0
 	}
@@ -322,10 +322,10 @@
 
 func (c *Chooser) recordRunTime(now time.Time, p *peer, o Answered) {
 	if c.typical == nil {
-		c.typical = kernel.NewTable[string, float64](maxRoutes)
+		c.typical = kernel.NewLRU[string, float64](maxRoutes)
 	}
-	typical := c.typical.Put(o.Route)
-	ran := max(o.Ran.Seconds(), 1e-4)
+	typical := c.typical.GetOrAdd(o.Route)
+	ran := max(o.RunTime.Seconds(), 1e-4)
 	if *typical == 0 {
 		*typical = ran
 		return
--- a/dispatch/chooser_test.go
+++ b/dispatch/chooser_test.go
@@ -17,7 +17,7 @@
 var (
 	start = time.Unix(1000, 0)
 	home  = balance.Place{Region: "rn", AvailabilityZone: "rn-1"}
-	query = dispatch.Query{Service: "maps", Route: "read", Objective: objective, Within: objective / 4}
+	query = dispatch.Query{Service: "maps", Route: "read", Objective: objective, MaxWait: objective / 4}
 )
 
 func newChooser() *dispatch.Chooser {
@@ -45,12 +45,12 @@
 func TestSurgeSpillsToTheNearestFreeCapacityAndBack(t *testing.T) {
 	c := newChooser()
 	require.Equal(t, "near", choose(t, c, start, query).Address)
-	c.Report(start, "near", fullLoad(100*time.Millisecond))
+	c.RecordLoad(start, "near", fullLoad(100*time.Millisecond))
 	require.Equal(t, "zone", choose(t, c, start, query).Address)
-	c.Report(start, "zone", fullLoad(200*time.Millisecond))
+	c.RecordLoad(start, "zone", fullLoad(200*time.Millisecond))
 	require.Equal(t, "near", choose(t, c, start, query).Address, "a short wait costs less than a call to another region")
-	c.Report(start, "near", fullLoad(900*time.Millisecond))
-	c.Report(start, "zone", fullLoad(900*time.Millisecond))
+	c.RecordLoad(start, "near", fullLoad(900*time.Millisecond))
+	c.RecordLoad(start, "zone", fullLoad(900*time.Millisecond))
 	require.Equal(t, "far", choose(t, c, start, query).Address)
 	require.Equal(t, "near", choose(t, c, start.Add(time.Second), query).Address)
 }
@@ -58,14 +58,14 @@
 // Guards against a call that waits longer at one backend server than a call to the second-best one would cost.
 func TestWaitIsBoundedByTheSecondBest(t *testing.T) {
 	c := newChooser()
-	c.Report(start, "near", fullLoad(2*time.Millisecond))
+	c.RecordLoad(start, "near", fullLoad(2*time.Millisecond))
 	choice := choose(t, c, start, query)
 	require.Equal(t, "near", choice.Address)
-	require.Less(t, choice.Wait, objective/4)
-	require.GreaterOrEqual(t, choice.Wait, objective/25)
+	require.Less(t, choice.MaxWait, objective/4)
+	require.GreaterOrEqual(t, choice.MaxWait, objective/25)
 	q := query
 	q.Exclude = kernel.SetOf("zone", "far")
-	require.Equal(t, q.Within, choose(t, c, start, q).Wait)
+	require.Equal(t, q.MaxWait, choose(t, c, start, q).MaxWait)
 }
 
 // Guards against calls that stay with a backend server in their own zone after it has become many times slower, and against
@@ -73,12 +73,12 @@
 func TestSlowBackendServerIsAvoidedThenRetried(t *testing.T) {
 	c := newChooser()
 	for range 50 {
-		c.Learn(start, "near", dispatch.Answered{Route: "read", Ran: 50 * time.Millisecond})
-		c.Learn(start, "zone", dispatch.Answered{Route: "read", Ran: 50 * time.Millisecond})
+		c.RecordOutcome(start, "near", dispatch.Answered{Route: "read", RunTime: 50 * time.Millisecond})
+		c.RecordOutcome(start, "zone", dispatch.Answered{Route: "read", RunTime: 50 * time.Millisecond})
 	}
 	require.Equal(t, "near", choose(t, c, start, query).Address)
 	for range 10 {
-		c.Learn(start, "near", dispatch.Answered{Route: "read", Ran: 300 * time.Millisecond})
+		c.RecordOutcome(start, "near", dispatch.Answered{Route: "read", RunTime: 300 * time.Millisecond})
 	}
 	require.Equal(t, "zone", choose(t, c, start, query).Address)
 	require.Equal(t, "near", choose(t, c, start.Add(30*time.Second), query).Address)
@@ -88,7 +88,7 @@
 // left.
 func TestUnusableBackendServerIsALastResort(t *testing.T) {
 	c := newChooser()
-	c.Learn(start, "near", dispatch.Unusable{})
+	c.RecordOutcome(start, "near", dispatch.Unusable{})
 	require.Equal(t, "zone", choose(t, c, start, query).Address)
 	q := query
 	q.Exclude = kernel.SetOf("zone", "far")
@@ -106,10 +106,10 @@
 	for i := range 20 {
 		o := dispatch.Outcome(dispatch.Failed{})
 		if i%2 == 0 {
-			o = dispatch.Answered{Route: "read", Ran: 50 * time.Millisecond}
+			o = dispatch.Answered{Route: "read", RunTime: 50 * time.Millisecond}
 		}
-		c.Learn(start, "near", o)
-		c.Learn(start, "zone", o)
+		c.RecordOutcome(start, "near", o)
+		c.RecordOutcome(start, "zone", o)
 	}
 	require.Equal(t, "far", choose(t, c, start, query).Address)
 	require.Equal(t, "near", choose(t, c, start.Add(20*time.Second), query).Address)
@@ -119,13 +119,13 @@
 // and against calls to backend servers that have just capped the route.
 func TestCappedRouteGoesToAnotherRegion(t *testing.T) {
 	c := newChooser()
-	c.Learn(start, "near", dispatch.Capped{Route: "read"})
-	c.Learn(start, "zone", dispatch.Capped{Route: "read"})
+	c.RecordOutcome(start, "near", dispatch.Capped{Route: "read"})
+	c.RecordOutcome(start, "zone", dispatch.Capped{Route: "read"})
 	require.Equal(t, "far", choose(t, c, start, query).Address)
 	other := query
 	other.Route = "write"
 	require.Equal(t, "near", choose(t, c, start, other).Address)
-	c.Learn(start, "far", dispatch.Capped{Route: "read"})
+	c.RecordOutcome(start, "far", dispatch.Capped{Route: "read"})
 	_, ok := c.Choose(start, query, kernel.NewRand(1))
 	require.False(t, ok)
 	require.Equal(t, "near", choose(t, c, start.Add(time.Second), query).Address)
--- a/event/log.go
+++ b/event/log.go
@@ -55,7 +55,7 @@
 }
 
 // Allow sets the rate limit of each of the events, in lines per second. Call it before their first line.
-func (l *Log) Allow(rate int, events ...string) {
+func (l *Log) SetRate(rate int, events ...string) {
 	if l == nil {
 		return
 	}
--- a/event/log_test.go
+++ b/event/log_test.go
@@ -128,7 +128,7 @@
 	var out bytes.Buffer
 	clock := &kernel.ManualClock{}
 	l := event.New(&out, clock)
-	l.Allow(50, "request-refused")
+	l.SetRate(50, "request-refused")
 	for range 200 {
 		l.Info("request-refused")
 		l.Info("other")
--- a/failure/body_test.go
+++ b/failure/body_test.go
@@ -21,7 +21,7 @@
 	services := []testbed.Service{orderServices("5ms")[1]}
 	services[0].Zones = []string{"rn-1", "rn-2", "rn-1"}
 	services[0].Calls, services[0].Slots = nil, 16
-	services[0].Backend = []string{"--service-time", "5ms", "--echo", "--straggler-share", "0.05", "--straggler-factor", "20"}
+	services[0].BackendFlags = []string{"--service-time", "5ms", "--echo", "--straggler-share", "0.05", "--straggler-factor", "20"}
 	services[0].Timeout = sendTimeout
 	cl := newCluster(t, "[class reads]\nrank = 1\ndefault = yes\n", services...)
 	require.NoError(t, cl.Places[0].SetFaults(cl.ctx, standin.BackendFaults{SlowFactor: pointer(10.0)}))
--- a/failure/crash_test.go
+++ b/failure/crash_test.go
@@ -34,7 +34,7 @@
 func TestCrashingRequestIsQuarantinedOnAllNodes(t *testing.T) {
 	services := []testbed.Service{orderServices("5ms")[1]}
 	services[0].Zones = []string{"rn-1", "rn-2", "rn-1", "rn-2"}
-	services[0].Calls, services[0].Backend = nil, []string{"--service-time", "5ms"}
+	services[0].Calls, services[0].BackendFlags = nil, []string{"--service-time", "5ms"}
 	rules := "[class reads]\nrank = 1\ndefault = yes\n"
 	cl := newCluster(t, rules, services...)
 	cl.supervise(cl.Places)
@@ -71,7 +71,7 @@
 		})
 	}
 	require.NotZero(t, quarantined, "the request was never quarantined")
-	require.LessOrEqual(t, poisonStarts(), quarantine.CrashBound, "one send at a time, so no copies ran elsewhere")
+	require.LessOrEqual(t, poisonStarts(), quarantine.MaxCrashes, "one send at a time, so no copies ran elsewhere")
 	for _, p := range cl.Places {
 		cl.awaitServing(p, 1)
 	}
--- a/failure/drain_test.go
+++ b/failure/drain_test.go
@@ -96,7 +96,7 @@
 
 // callCount returns the number of calls that the place's backend server has started.
 func (cl *cluster) callCount(p *testbed.Place) int {
-	ran, err := p.Ran(cl.ctx)
+	ran, err := p.StartCounts(cl.ctx)
 	require.NoError(cl.t, err)
 	n := 0
 	for _, count := range ran.Paths {
@@ -141,14 +141,14 @@
 	// The last remaining place has slots for all callers: a place without free slots may refuse reads.
 	services[1].Slots = drainCallers
 	cl := newCluster(t, orderRules, services...)
-	s := &drainLoad{cl: cl, listSource: cl.Of("payments")[0]}
+	s := &drainLoad{cl: cl, listSource: cl.PlacesOf("payments")[0]}
 	load, stop := context.WithCancel(cl.ctx)
 	defer stop()
 	var g errgroup.Group
 	for i := range drainCallers {
 		g.Go(func() error { return s.sendRequests(load, fmt.Sprintf("s%d", i), uint64(i)) })
 	}
-	nursery := cl.Of("nursery")
+	nursery := cl.PlacesOf("nursery")
 	remaining := cl.Places
 	removePlace := func(p *testbed.Place) {
 		var rest []*testbed.Place
--- a/failure/once_test.go
+++ b/failure/once_test.go
@@ -38,9 +38,9 @@
 func orderServices(serviceTime string) []testbed.Service {
 	return []testbed.Service{
 		{Name: "payments", Zones: []string{"rn-1", "rn-2"}, Slots: 8, Connections: 100, Timeout: time.Second,
-			Backend: []string{"--service-time", serviceTime}},
+			BackendFlags: []string{"--service-time", serviceTime}},
 		{Name: "nursery", Zones: []string{"rn-1", "rn-2", "rn-1"}, Slots: 8, Connections: 100, Timeout: 2 * time.Second,
-			Calls: []string{"payments"}, Backend: []string{"--service-time", serviceTime, "--call", "/orders=payments:POST:/holds"}},
+			Calls: []string{"payments"}, BackendFlags: []string{"--service-time", serviceTime, "--call", "/orders=payments:POST:/holds"}},
 	}
 }
 
@@ -61,7 +61,7 @@
 
 func (o *orderLoad) sendOrders(ctx context.Context, name string, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	addresses := o.cl.Callers()
+	addresses := o.cl.CallerAddresses()
 	for i := 0; ctx.Err() == nil; i++ {
 		order := fmt.Sprintf("%s-%d", name, i)
 		ticket := ""
@@ -172,7 +172,7 @@
 // the configuration changed in the meantime.
 func TestFrozenOwnerDoesNotStartExpiredOrder(t *testing.T) {
 	cl := newCluster(t, orderRules, orderServices("5ms")...)
-	owner, entry := cl.Of("nursery")[0], cl.Of("nursery")[1]
+	owner, entry := cl.PlacesOf("nursery")[0], cl.PlacesOf("nursery")[1]
 	sendVia := func(ticket, order string) reply {
 		return send(cl.ctx, entry.Callers, "POST", "/nursery/orders", orderBody(order), "Lovagelane-Ticket", ticket)
 	}
@@ -199,7 +199,7 @@
 // outcome "unknown", resends the order during and after the pause.
 func TestFrozenOwnerRemembersStartedOrder(t *testing.T) {
 	cl := newCluster(t, orderRules, orderServices("300ms")...)
-	owner, entry := cl.Of("nursery")[0], cl.Of("nursery")[1]
+	owner, entry := cl.PlacesOf("nursery")[0], cl.PlacesOf("nursery")[1]
 	ticket := cl.ticket(owner, "/nursery/orders", "sent")
 	sendVia := func(p *testbed.Place) reply {
 		return send(cl.ctx, p.Callers, "POST", "/nursery/orders", orderBody("sent"), "Lovagelane-Ticket", ticket)
@@ -216,14 +216,14 @@
 	require.NoError(t, owner.Node.Freeze())
 	require.NoError(t, g.Wait())
 	require.Equal(t, "unknown", answer.outcome, "%+v", answer)
-	again := sendVia(cl.Of("payments")[0])
+	again := sendVia(cl.PlacesOf("payments")[0])
 	require.Equal(t, "unknown", again.outcome, "%+v", again)
 	out, _ := cl.runCommand("apply", "--store", cl.Store, "--keys", cl.Dir(), "--wait", "1s",
 		cl.writeConfig(orderRules+"\n# changed\n"))
 	require.Contains(t, out, "accepted as version 2")
 	require.NoError(t, owner.Node.Resume())
 	cl.awaitServing(owner, 2)
-	last := sendVia(cl.Of("payments")[1])
+	last := sendVia(cl.PlacesOf("payments")[1])
 	require.NotEqual(t, "not-run", last.outcome, "%+v", last)
 	require.Equal(t, 1, cl.startCount("/orders", "sent"))
 	require.LessOrEqual(t, cl.startCount("/holds", "sent"), 1)
--- a/failure/store_test.go
+++ b/failure/store_test.go
@@ -42,7 +42,7 @@
 			changed := orderRules + "[request changed]\nservice = nursery\nmethod = GET\npath = /changed\nclass = reads\n"
 			_, err := cl.Apply(cl.ctx, testbed.Inventory(cl.services), changed)
 			require.NoError(t, err)
-			require.NoError(t, cl.Ready(cl.ctx, 2))
+			require.NoError(t, cl.WaitReady(cl.ctx, 2))
 			require.NoError(t, cl.SetPlatformFaults(cl.ctx, fault))
 			cl.requireAllRun("before")
 
@@ -53,7 +53,7 @@
 			cl.awaitServing(joined, 2)
 			cl.awaitCallOn(joined, "joined")
 
-			restarted := cl.Of("nursery")[1]
+			restarted := cl.PlacesOf("nursery")[1]
 			old, err := restarted.Status(cl.ctx)
 			require.NoError(t, err)
 			require.NoError(t, restarted.Node.Kill())
@@ -112,7 +112,7 @@
 	order := fmt.Sprintf("%s-%d", name, len(before))
 	a := send(cl.ctx, p.Callers, "POST", "/nursery/orders", orderBody(order),
 		"Lovagelane-Ticket", cl.ticket(p, "/nursery/orders", order))
-	ran, err := p.Ran(cl.ctx)
+	ran, err := p.StartCounts(cl.ctx)
 	switch {
 	case err != nil:
 		return err
@@ -133,7 +133,7 @@
 				send(ctx, other.Callers, "GET", fmt.Sprintf("/nursery/stock?request=%s-%d", name, n), nil)
 			}
 		}
-		ran, err := p.Ran(ctx)
+		ran, err := p.StartCounts(ctx)
 		if err == nil && ran.Paths["GET /stock"] == 0 {
 			err = errors.New("no read ran on the backend server")
 		}
--- a/failure/world_test.go
+++ b/failure/world_test.go
@@ -62,7 +62,7 @@
 
 // cluster is the deployment of one test.
 type cluster struct {
-	*testbed.Bed
+	*testbed.Deployment
 	t        *testing.T
 	ctx      context.Context
 	services []testbed.Service
@@ -89,10 +89,10 @@
 	t.Cleanup(func() { processSlots.Release(count) })
 	bed, err := testbed.New(ctx, testbed.Options{Bin: bin})
 	require.NoError(t, err)
-	cl := &cluster{Bed: bed, t: t, ctx: ctx, rules: rules, journal: filepath.Join(bed.Dir(), "journal")}
+	cl := &cluster{Deployment: bed, t: t, ctx: ctx, rules: rules, journal: filepath.Join(bed.Dir(), "journal")}
 	t.Cleanup(cl.stop)
 	for _, s := range services {
-		s.Backend = append([]string{"--journal", cl.journal, "--fixed"}, s.Backend...)
+		s.BackendFlags = append([]string{"--journal", cl.journal, "--fixed"}, s.BackendFlags...)
 		cl.services = append(cl.services, s)
 	}
 	ready, cancelReady := context.WithTimeout(ctx, eventTimeout)
@@ -102,12 +102,12 @@
 	first, rest := cl.services[0], cl.services[0]
 	first.Zones, rest.Zones = first.Zones[:1], rest.Zones[1:]
 	require.NoError(t, bed.Add(first))
-	require.NoError(t, bed.Up(ready))
+	require.NoError(t, bed.WaitHealthy(ready))
 	require.NoError(t, bed.Add(append([]testbed.Service{rest}, cl.services[1:]...)...))
-	require.NoError(t, bed.Up(ready))
+	require.NoError(t, bed.WaitHealthy(ready))
 	_, err = bed.Apply(ready, testbed.Inventory(cl.services), rules)
 	require.NoError(t, err)
-	require.NoError(t, bed.Ready(ready, 1))
+	require.NoError(t, bed.WaitReady(ready, 1))
 	return cl
 }
 
@@ -127,7 +127,7 @@
 	cl.t.Helper()
 	ctx, cancel := context.WithTimeout(cl.ctx, eventTimeout)
 	defer cancel()
-	require.NoError(cl.t, testbed.Until(ctx, what, f))
+	require.NoError(cl.t, testbed.PollUntil(ctx, what, f))
 }
 
 // awaitServing waits until the place's node has at least the given configuration version in force and its backend server is
@@ -167,16 +167,16 @@
 }
 
 // starts returns the requests that backend servers have started, including backend servers that were killed since.
-func (cl *cluster) starts() []standin.Start {
+func (cl *cluster) starts() []standin.JournalEntry {
 	f, err := os.Open(cl.journal)
 	if os.IsNotExist(err) {
 		return nil
 	}
 	require.NoError(cl.t, err)
 	defer f.Close()
-	var all []standin.Start
+	var all []standin.JournalEntry
 	for lines := bufio.NewScanner(f); lines.Scan(); {
-		var s standin.Start
+		var s standin.JournalEntry
 		if json.Unmarshal(lines.Bytes(), &s) == nil {
 			all = append(all, s)
 		}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -48,7 +48,7 @@
 }
 
 // Open returns a Fleet that uses the operator's key in a directory written by "lovagelane keys".
-func Open(keysDir string) (*Fleet, error) {
+func New(keysDir string) (*Fleet, error) {
 	keyring, err := keys.Load(keys.PathsIn(keysDir, keys.RoleOperator))
 	if err != nil {
 		return nil, Err.Wrap(err)
@@ -60,7 +60,7 @@
 			if err != nil {
 				return nil, err
 			}
-			secured := tls.Client(conn, keyring.Client("http/1.1"))
+			secured := tls.Client(conn, keyring.ClientConfig("http/1.1"))
 			if err := secured.HandshakeContext(ctx); err != nil {
 				_ = conn.Close()
 				return nil, err
@@ -107,14 +107,14 @@
 		Member  membership.Member   `json:"member"`
 		Members []membership.Member `json:"members"`
 	}
-	if err := f.Ask(ctx, node, http.MethodGet, PathStatus, &status); err != nil {
+	if err := f.Request(ctx, node, http.MethodGet, PathStatus, &status); err != nil {
 		return nil, err
 	}
 	return append(status.Members, status.Member), nil
 }
 
 // Ask sends a request to the calls address of a node and decodes the JSON response into v, unless v is nil.
-func (f *Fleet) Ask(ctx context.Context, address, method, path string, v any) error {
+func (f *Fleet) Request(ctx context.Context, address, method, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "https://"+address+path, nil)
 	if err != nil {
 		return Err.Wrap(err)
@@ -161,7 +161,7 @@
 }
 
 // AskAll sends a GET request to all members concurrently and returns one Answer for each, in the order of members.
-func AskAll[T any](ctx context.Context, f *Fleet, members []membership.Member, path string) []Answer[T] {
+func GetAll[T any](ctx context.Context, f *Fleet, members []membership.Member, path string) []Answer[T] {
 	answers := make([]Answer[T], len(members))
 	pool := kernel.NewPool(maxConcurrentRequests, len(members)+1)
 	var wait sync.WaitGroup
@@ -172,7 +172,7 @@
 			ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
 			answers[i].Member = m
-			answers[i].Err = f.Ask(ctx, m.Calls, http.MethodGet, path, &answers[i].Value)
+			answers[i].Err = f.Request(ctx, m.Calls, http.MethodGet, path, &answers[i].Value)
 		}
 		if !pool.Submit(task) {
 			task()
@@ -192,7 +192,7 @@
 func (f *Fleet) Notify(ctx context.Context, members []membership.Member) {
 	for _, m := range members[:min(len(members), 3)] {
 		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
-		_ = f.Ask(ctx, m.Calls, http.MethodPost, PathNotice, nil)
+		_ = f.Request(ctx, m.Calls, http.MethodPost, PathNotice, nil)
 		cancel()
 	}
 }
--- a/hangup/watch.go
+++ b/hangup/watch.go
@@ -10,7 +10,7 @@
 )
 
 // Watch detects when waiting callers close their connection. The zero value is ready to use.
-type Watch struct {
+type Watcher struct {
 	mu      sync.Mutex
 	nextID  uint64
 	callers map[uint64]*waitingCaller
@@ -23,7 +23,7 @@
 
 // Add watches a connection until stop is called. Check closes the returned channel when the peer has closed the connection.
 // The channel is nil for a connection without access to its socket.
-func (w *Watch) Add(conn net.Conn) (disconnected <-chan struct{}, stop func()) {
+func (w *Watcher) Add(conn net.Conn) (disconnected <-chan struct{}, stop func()) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, func() {}
@@ -49,14 +49,14 @@
 }
 
 // Count returns the number of watched connections.
-func (w *Watch) Count() int {
+func (w *Watcher) Count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.callers)
 }
 
 // Check tests every watched connection and closes the channels of those that the peer has closed.
-func (w *Watch) Check() {
+func (w *Watcher) Check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, caller := range w.callers {
--- a/inventory/config.go
+++ b/inventory/config.go
@@ -14,7 +14,7 @@
 	// RulesFile is the base name of the file that declares classes, request rules, callers and objectives.
 	RulesFile = "rules.ini"
 	// MaxTotalBytes is the maximum size of all files together, because nodes exchange a configuration as one text.
-	MaxTotalBytes = setting.MaxText
+	MaxTotalBytes = setting.MaxFileBytes
 )
 
 // File holds the name and the content of one of the operators' INI files.
@@ -249,7 +249,7 @@
 func (c *Config) Classes() []Class { return slices.Clone(c.classes) }
 
 // Requests returns the request rules in file order.
-func (c *Config) Requests() []RequestRule { return slices.Clone(c.requests) }
+func (c *Config) RequestRules() []RequestRule { return slices.Clone(c.requests) }
 
 // Callers returns the callers in file order.
 func (c *Config) Callers() []Caller { return slices.Clone(c.callers) }
--- a/inventory/property_test.go
+++ b/inventory/property_test.go
@@ -124,7 +124,7 @@
 		method := rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "request method")
 		path := rapid.SampledFrom([]string{"/", "/a", "/a/", "/a/b", "/a/b/", "/a/b/c", "/a/x", "/ab", "/x"}).Draw(t, "request path")
 		want, specificity := "payments.other", -1
-		for _, r := range cfg.Requests() {
+		for _, r := range cfg.RequestRules() {
 			if w := matchSpecificity(r, method, path); w > specificity {
 				want, specificity = r.Operation.Name, w
 			}
--- a/kernel/table.go
+++ b/kernel/table.go
@@ -4,7 +4,7 @@
 
 // Table is a map with a fixed capacity that evicts the least recently used entry when it is full. Get and Put take
 // constant time. Use NewTable to create one.
-type Table[K comparable, V any] struct {
+type LRU[K comparable, V any] struct {
 	capacity int
 	index    map[K]*list.Element
 	// order lists the entries from the most to the least recently used.
@@ -17,15 +17,15 @@
 }
 
 // NewTable returns an empty table for at most capacity entries; a capacity below 1 counts as 1.
-func NewTable[K comparable, V any](capacity int) *Table[K, V] {
-	return &Table[K, V]{capacity: max(capacity, 1), index: map[K]*list.Element{}, order: list.New()}
+func NewLRU[K comparable, V any](capacity int) *LRU[K, V] {
+	return &LRU[K, V]{capacity: max(capacity, 1), index: map[K]*list.Element{}, order: list.New()}
 }
 
 // Len returns the number of entries.
-func (t *Table[K, V]) Len() int { return len(t.index) }
+func (t *LRU[K, V]) Len() int { return len(t.index) }
 
 // Get returns the value for key and marks it as used, or returns nil if the table does not contain key.
-func (t *Table[K, V]) Get(key K) *V {
+func (t *LRU[K, V]) Get(key K) *V {
 	elem, ok := t.index[key]
 	if !ok {
 		return nil
@@ -35,7 +35,7 @@
 }
 
 // Put returns the value for key and marks it as used; if the table does not contain key, Put first inserts a zero value.
-func (t *Table[K, V]) Put(key K) *V {
+func (t *LRU[K, V]) GetOrAdd(key K) *V {
 	if v := t.Get(key); v != nil {
 		return v
 	}
@@ -48,7 +48,7 @@
 }
 
 // Each calls f for every entry, from the most to the least recently used, and removes those for which f returns false.
-func (t *Table[K, V]) Each(f func(key K, value *V) bool) {
+func (t *LRU[K, V]) Retain(f func(key K, value *V) bool) {
 	for elem := t.order.Front(); elem != nil; {
 		ent, next := elem.Value.(*entry[K, V]), elem.Next()
 		if !f(ent.key, &ent.value) {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (t *Table[K, V]) remove(elem *list.Element) {
+func (t *LRU[K, V]) remove(elem *list.Element) {
 	delete(t.index, elem.Value.(*entry[K, V]).key)
 	t.order.Remove(elem)
 }
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -87,7 +87,7 @@
 	dir := issueKeys(t)
 	node := loadKeyring(t, dir, RoleNode)
 	for _, r := range []Role{RoleNode, RoleOperator} {
-		role, serverErr, clientErr := handshake(node.Server("h1"), loadKeyring(t, dir, r).Client("h1"))
+		role, serverErr, clientErr := handshake(node.ServerConfig("h1"), loadKeyring(t, dir, r).ClientConfig("h1"))
 		require.NoError(t, serverErr)
 		require.NoError(t, clientErr)
 		require.Equal(t, r, role)
@@ -158,17 +158,17 @@
 		if tc.trusted {
 			k = nodeTrustingBoth
 		}
-		_, serverErr, clientErr := handshake(k.Server(), peer.Client())
+		_, serverErr, clientErr := handshake(k.ServerConfig(), peer.ClientConfig())
 		require.ErrorContains(t, serverErr, tc.why, "%s: server", tc.name)
 		require.Error(t, clientErr)
-		_, _, clientErr = handshake(peer.Server(), k.Client())
+		_, _, clientErr = handshake(peer.ServerConfig(), k.ClientConfig())
 		require.ErrorContains(t, clientErr, tc.why, "%s: client", tc.name)
-		require.True(t, Refused.Has(clientErr))
+		require.True(t, PeerRefused.Has(clientErr))
 	}
 
-	_, serverErr, _ := handshake(node.Server(), &tls.Config{InsecureSkipVerify: true})
+	_, serverErr, _ := handshake(node.ServerConfig(), &tls.Config{InsecureSkipVerify: true})
 	require.ErrorContains(t, serverErr, "certificate", "no certificate")
-	_, _, clientErr := handshake(loadKeyring(t, dir, RoleOperator).Server(), node.Client())
+	_, _, clientErr := handshake(loadKeyring(t, dir, RoleOperator).ServerConfig(), node.ClientConfig())
 	require.ErrorContains(t, clientErr, "peer refused", "an operator's key must not serve")
 	nodeFiles, err := authority.issue(RoleNode, now.Add(-time.Hour), now.Add(time.Hour))
 	require.NoError(t, err)
@@ -181,14 +181,14 @@
 	require.NoError(t, err)
 	operator := &Keyring{}
 	operator.current.Store(&keyMaterial{certificate: pair, authorities: m.authorities})
-	_, _, clientErr = handshake(operator.Server(), nodeTrustingBoth.Client())
+	_, _, clientErr = handshake(operator.ServerConfig(), nodeTrustingBoth.ClientConfig())
 	require.ErrorContains(t, clientErr, `server with the role "operator"`, "even when the key's usage allows it")
 
-	tls12 := node.Client()
+	tls12 := node.ClientConfig()
 	tls12.MinVersion, tls12.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
-	_, serverErr, _ = handshake(node.Server(), tls12)
+	_, serverErr, _ = handshake(node.ServerConfig(), tls12)
 	require.ErrorContains(t, serverErr, "unsupported versions")
-	_, serverErr, _ = handshake((&Keyring{}).Server(), node.Client())
+	_, serverErr, _ = handshake((&Keyring{}).ServerConfig(), node.ClientConfig())
 	require.ErrorContains(t, serverErr, "no key is loaded")
 }
 
@@ -197,7 +197,7 @@
 	dir := issueKeys(t)
 	server, client := loadKeyring(t, dir, RoleNode), loadKeyring(t, dir, RoleNode)
 	for _, tickets := range []bool{false, true} {
-		s, c := server.Server(), client.Client()
+		s, c := server.ServerConfig(), client.ClientConfig()
 		s.SessionTicketsDisabled = !tickets && s.SessionTicketsDisabled // with tickets, only VerifyConnection can reject the peer
 		c.SessionTicketsDisabled, c.ServerName, c.ClientSessionCache = false, "node", tls.NewLRUClientSessionCache(1)
 		for range 2 {
@@ -265,7 +265,7 @@
 	}
 	authorities := [...]string{string(read(first, "authority.pem")), string(read(second, "authority.pem"))}
 	server, client := loadKeyring(t, first, RoleNode), loadKeyring(t, first, RoleNode)
-	s, c := server.Server("h1"), client.Client("h1")
+	s, c := server.ServerConfig("h1"), client.ClientConfig("h1")
 
 	a, b, err := connectLoopback()
 	require.NoError(t, err)
@@ -326,7 +326,7 @@
 	reload(true)
 	require.NoError(t, traffic.Stop())
 
-	_, serverErr, _ := handshake(s, loadKeyring(t, issueKeys(t), RoleNode).Client("h1"))
+	_, serverErr, _ := handshake(s, loadKeyring(t, issueKeys(t), RoleNode).ClientConfig("h1"))
 	require.Error(t, serverErr)
 	openConn.Close()
 	require.NoError(t, echo.Stop())
--- a/keys/peer.go
+++ b/keys/peer.go
@@ -9,7 +9,7 @@
 )
 
 // Refused is the class of errors for peers whose certificate is rejected.
-var Refused = errs.Class("peer refused")
+var PeerRefused = errs.Class("peer refused")
 
 // Role is the role that a certificate grants.
 type Role string
@@ -24,10 +24,10 @@
 // PeerRole returns the role in the peer's certificate. The handshake of the connection must be complete.
 func PeerRole(s tls.ConnectionState) (Role, error) {
 	if len(s.PeerCertificates) == 0 {
-		return "", Refused.New("the peer shows no certificate: start it with a key of this deployment")
+		return "", PeerRefused.New("the peer shows no certificate: start it with a key of this deployment")
 	}
 	role, err := roleOf(s.PeerCertificates[0])
-	return role, Refused.Wrap(err)
+	return role, PeerRefused.Wrap(err)
 }
 
 func roleOf(c *x509.Certificate) (Role, error) {
@@ -43,7 +43,7 @@
 
 // Server returns the TLS configuration for listeners, which accept only peers with a certificate of the deployment. A
 // reloaded key applies from the next handshake.
-func (k *Keyring) Server(protocols ...string) *tls.Config {
+func (k *Keyring) ServerConfig(protocols ...string) *tls.Config {
 	c := k.baseConfig(protocols)
 	c.ClientAuth = tls.RequireAnyClientCert // VerifyConnection verifies it against the current authorities
 	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.currentCertificate() }
@@ -55,14 +55,14 @@
 }
 
 // Client returns the TLS configuration for connections to nodes, which must present a node's certificate of the deployment.
-func (k *Keyring) Client(protocols ...string) *tls.Config {
+func (k *Keyring) ClientConfig(protocols ...string) *tls.Config {
 	c := k.baseConfig(protocols)
 	c.InsecureSkipVerify = true // VerifyConnection verifies the chain, but no host name
 	c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return k.currentCertificate() }
 	c.VerifyConnection = func(s tls.ConnectionState) error {
 		role, err := k.verifyPeer(s, x509.ExtKeyUsageServerAuth)
 		if err == nil && role != RoleNode {
-			return Refused.New("a server with the role %q: start it with a node's key", role)
+			return PeerRefused.New("a server with the role %q: start it with a node's key", role)
 		}
 		return err
 	}
@@ -94,7 +94,7 @@
 	}
 	leaf := s.PeerCertificates[0]
 	if _, err := m.verify(leaf, s.PeerCertificates[1:], usage); err != nil {
-		return "", Refused.New("%s: %v: start the peer with a current key of this deployment", leaf.Subject, err)
+		return "", PeerRefused.New("%s: %v: start the peer with a current key of this deployment", leaf.Subject, err)
 	}
 	return role, nil
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -26,14 +26,14 @@
 
 	mu       sync.Mutex
 	runs     map[string]int
-	calls    map[string]*link.Served
+	calls    map[string]*link.IncomingCall
 	cancel   map[string]bool
 	received []string
 }
 
 func start(t *testing.T, incarnation uint64, address string) *node {
 	t.Helper()
-	n := &node{runs: map[string]int{}, calls: map[string]*link.Served{}, cancel: map[string]bool{}}
+	n := &node{runs: map[string]int{}, calls: map[string]*link.IncomingCall{}, cancel: map[string]bool{}}
 	ln, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	n.address = ln.Addr().String()
@@ -46,17 +46,17 @@
 
 func (n *node) stop() { _ = n.group.Stop() } // The listener returns an error when it is closed.
 
-func (n *node) Greeting() []byte             { return []byte("hello") }
-func (n *node) Greeted([]byte, func([]byte)) {}
-func (n *node) Status() []byte               { return []byte("status") }
+func (n *node) Hello() []byte                    { return []byte("hello") }
+func (n *node) HandleHello([]byte, func([]byte)) {}
+func (n *node) Status() []byte                   { return []byte("status") }
 
-func (n *node) Heard(status []byte, _ func([]byte)) {
+func (n *node) HandleStatus(status []byte, _ func([]byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.received = append(n.received, string(status))
 }
 
-func (n *node) Notice(notice []byte, reply func([]byte)) {
+func (n *node) HandleNotice(notice []byte, reply func([]byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.received = append(n.received, string(notice))
@@ -65,7 +65,7 @@
 	}
 }
 
-func (n *node) Call(c *link.Served) {
+func (n *node) Call(c *link.IncomingCall) {
 	name := string(c.Payload)
 	n.mu.Lock()
 	n.runs[name]++
@@ -220,9 +220,9 @@
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
 	b.stop()
 	require.Equal(t, link.Lost{}, result(t, a.transport.Peer(b.address).Call([]byte("order"))))
-	require.NotZero(t, a.transport.Unreachable(b.address))
+	require.NotZero(t, a.transport.UnreachableFor(b.address))
 	start(t, 3, b.address)
-	require.Zero(t, a.transport.Unreachable(b.address))
+	require.Zero(t, a.transport.UnreachableFor(b.address))
 }
 
 // Guards against a receiver that keeps running a cancelled call, also when the cancellation was lost with its connection or
@@ -271,7 +271,7 @@
 // Guards against statuses and notices that do not reach a persistent peer, and against lost replies.
 func TestPersistentPeersExchangeMessages(t *testing.T) {
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
-	a.transport.Connect([]string{b.address})
+	a.transport.SetPersistentPeers([]string{b.address})
 	eventually(t, func() bool { return a.hasReceived("status") && b.hasReceived("status") })
 	require.True(t, a.transport.Notify(b.address, []byte("ask")))
 	eventually(t, func() bool { return a.hasReceived("told") })
--- a/link/peer.go
+++ b/link/peer.go
@@ -267,9 +267,9 @@
 			p.completeLocked(f.number, Lost{Sent: true})
 		}
 	case kindPong:
-		p.t.Handler.Heard(f.payload, k.reply)
+		p.t.Handler.HandleStatus(f.payload, k.reply)
 	case kindNotice:
-		p.t.Handler.Notice(f.payload, k.reply)
+		p.t.Handler.HandleNotice(f.payload, k.reply)
 	}
 }
 
@@ -347,7 +347,7 @@
 	if err := k.c.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return 0, err
 	}
-	hello := frame{kind: kindHello, number: t.Incarnation, payload: t.Handler.Greeting()}
+	hello := frame{kind: kindHello, number: t.Incarnation, payload: t.Handler.Hello()}
 	if err := k.write(appendFrame(nil, hello)); err != nil {
 		return 0, err
 	}
@@ -362,6 +362,6 @@
 		return 0, err
 	}
 	k.lastRead.Store(int64(t.uptime()))
-	t.Handler.Greeted(f.payload, k.reply)
+	t.Handler.HandleHello(f.payload, k.reply)
 	return f.number, nil
 }
--- a/link/session.go
+++ b/link/session.go
@@ -18,7 +18,7 @@
 )
 
 // Served is a call received from another node. The handler must call Answer once.
-type Served struct {
+type IncomingCall struct {
 	// Payload is the payload of the call; Answer sets it to nil.
 	Payload []byte
 
@@ -42,7 +42,7 @@
 	connections int
 	// acked is the number below which the sender needs no answers; calls below it are never started.
 	acked uint64
-	calls map[uint64]*Served
+	calls map[uint64]*IncomingCall
 	// disconnectedAt is when a connection was last lost.
 	disconnectedAt time.Duration
 }
@@ -98,9 +98,9 @@
 		s.acknowledge(f.number)
 	case kindPing:
 		k.send(frame{kind: kindPong, payload: t.Handler.Status()})
-		t.Handler.Heard(f.payload, k.reply)
+		t.Handler.HandleStatus(f.payload, k.reply)
 	case kindNotice:
-		t.Handler.Notice(f.payload, k.reply)
+		t.Handler.HandleNotice(f.payload, k.reply)
 	}
 }
 
@@ -112,7 +112,7 @@
 }
 
 // admit returns a new call, or nil for a resent one, which is attached to the running call or gets the stored answer.
-func (s *session) admit(k *conn, f frame) *Served {
+func (s *session) admit(k *conn, f frame) *IncomingCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c, ok := s.calls[f.number]; ok {
@@ -127,7 +127,7 @@
 		k.send(frame{kind: kindOutcomeUnknown, number: f.number})
 		return nil
 	}
-	c := &Served{Payload: f.payload, session: s, number: f.number, conn: k}
+	c := &IncomingCall{Payload: f.payload, session: s, number: f.number, conn: k}
 	s.calls[f.number] = c
 	return c
 }
@@ -138,7 +138,7 @@
 	if !ok {
 		// The cancellation arrived before its call, which may still arrive on an older connection and must not run.
 		if number >= s.acked && len(s.calls) < maxCallsPerSession {
-			s.calls[number] = &Served{session: s, number: number, cancelled: true, done: true}
+			s.calls[number] = &IncomingCall{session: s, number: number, cancelled: true, done: true}
 		}
 		s.mu.Unlock()
 		return
@@ -149,7 +149,7 @@
 }
 
 // cancelLocked marks the call as cancelled and returns a callback to run after the lock is released.
-func (c *Served) cancelLocked() func() {
+func (c *IncomingCall) cancelLocked() func() {
 	f := c.onCancel
 	if c.cancelled || c.done || f == nil {
 		f = func() {}
@@ -159,7 +159,7 @@
 }
 
 // OnCancel registers f to be called once when the call is cancelled, or calls it at once if that has already happened.
-func (c *Served) OnCancel(f func()) {
+func (c *IncomingCall) OnCancel(f func()) {
 	c.session.mu.Lock()
 	c.onCancel = f
 	cancelled := c.cancelled && !c.done
@@ -191,7 +191,7 @@
 }
 
 // Answer sends the answer and stores it until the sender acknowledges it.
-func (c *Served) Answer(payload []byte) {
+func (c *IncomingCall) Answer(payload []byte) {
 	s := c.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/link/transport.go
+++ b/link/transport.go
@@ -22,17 +22,17 @@
 // Handler handles the messages of other nodes. Its methods must not block.
 type Handler interface {
 	// Greeting returns the payload of this node's hello frame.
-	Greeting() []byte
+	Hello() []byte
 	// Greeted handles the payload of a hello frame; reply sends a notice on the same connection.
-	Greeted(greeting []byte, reply func(notice []byte))
+	HandleHello(greeting []byte, reply func(notice []byte))
 	// Call handles a call. The handler must answer it with c.Answer.
-	Call(c *Served)
+	Call(c *IncomingCall)
 	// Status returns the payload of pings and pongs.
 	Status() []byte
 	// Heard handles the status of another node; reply sends a notice on the same connection.
-	Heard(status []byte, reply func(notice []byte))
+	HandleStatus(status []byte, reply func(notice []byte))
 	// Notice handles a notice; reply sends another one on the same connection.
-	Notice(notice []byte, reply func(notice []byte))
+	HandleNotice(notice []byte, reply func(notice []byte))
 }
 
 // Transport opens and accepts the connections of a node. Set its exported fields before Start.
@@ -125,7 +125,7 @@
 }
 
 // Connect makes the connections to exactly these addresses persistent: they stay open while no calls are in flight.
-func (t *Transport) Connect(addresses []string) {
+func (t *Transport) SetPersistentPeers(addresses []string) {
 	wanted := kernel.SetOf(addresses...)
 	for address := range wanted {
 		t.Peer(address)
@@ -137,7 +137,7 @@
 
 // Unreachable returns for how long every attempt to connect to a node has failed, or 0 if none has failed since the last
 // connection. If earlier attempts have failed, it makes another one, since they may have been long ago.
-func (t *Transport) Unreachable(address string) time.Duration {
+func (t *Transport) UnreachableFor(address string) time.Duration {
 	p := t.Peer(address)
 	if p.unreachableFor() == 0 {
 		return 0
@@ -209,7 +209,7 @@
 		if len(t.sessions) >= maxSessions {
 			return nil
 		}
-		s = &session{incarnation: incarnation, calls: map[uint64]*Served{}}
+		s = &session{incarnation: incarnation, calls: map[uint64]*IncomingCall{}}
 		t.sessions[incarnation] = s
 	}
 	s.mu.Lock()
--- a/membership/rings.go
+++ b/membership/rings.go
@@ -75,7 +75,7 @@
 }
 
 // HoldsLinks reports whether the member is a link node of its region.
-func (r Rings) HoldsLinks(m Member) bool {
+func (r Rings) IsLinkNode(m Member) bool {
 	return slices.ContainsFunc(r.regions[m.Region].links, func(l Member) bool { return l.ID == m.ID })
 }
 
--- a/membership/view.go
+++ b/membership/view.go
@@ -29,7 +29,7 @@
 type Digest [DigestBuckets]uint64
 
 // Mark states that a member is suspected or dead, as of the announcement with the given counter.
-type Mark struct {
+type Suspicion struct {
 	ID      string `cbor:"1,keyasint"`
 	Counter uint64 `cbor:"2,keyasint"`
 	Dead    bool   `cbor:"3,keyasint,omitempty"`
@@ -73,11 +73,11 @@
 }
 
 // Changes returns the number of changes of the view.
-func (v *View) Changes() uint64 { return v.changeCount }
+func (v *View) ChangeCount() uint64 { return v.changeCount }
 
 // Roster returns a version that increases when the set of live members or the region of a member changes, which is when the
 // rings must be rebuilt.
-func (v *View) Roster() uint64 { return v.rosterVersion }
+func (v *View) RosterVersion() uint64 { return v.rosterVersion }
 
 // Digest returns the digest of the live announcements in the view.
 func (v *View) Digest() Digest { return v.digest }
@@ -105,7 +105,7 @@
 
 // MergeMark merges a suspicion or death of a member and reports whether the view changed. A mark has no effect unless the
 // view contains the announcement that it refers to.
-func (v *View) MergeMark(now time.Time, k Mark) bool {
+func (v *View) MergeSuspicion(now time.Time, k Suspicion) bool {
 	e, ok := v.entries[k.ID]
 	if !ok || e.member.Counter != k.Counter {
 		return false
@@ -119,13 +119,13 @@
 // Suspect marks a live member as suspected because it is unreachable, and reports whether the view changed.
 func (v *View) Suspect(now time.Time, id string) bool {
 	e, ok := v.entries[id]
-	return ok && e.live() && v.MergeMark(now, Mark{ID: id, Counter: e.member.Counter})
+	return ok && e.live() && v.MergeSuspicion(now, Suspicion{ID: id, Counter: e.member.Counter})
 }
 
 // Remove marks a member as dead because another member answers at its address, and reports whether the view changed.
-func (v *View) Remove(now time.Time, id string) bool {
+func (v *View) MarkDead(now time.Time, id string) bool {
 	e, ok := v.entries[id]
-	return ok && v.MergeMark(now, Mark{ID: id, Counter: e.member.Counter, Dead: true})
+	return ok && v.MergeSuspicion(now, Suspicion{ID: id, Counter: e.member.Counter, Dead: true})
 }
 
 // SetState announces a new state of the own member.
@@ -135,7 +135,7 @@
 }
 
 // SetPlace announces the region and slots of the own member, which a node reads from the configuration.
-func (v *View) SetPlace(now time.Time, region string, slots int) {
+func (v *View) SetRegionAndSlots(now time.Time, region string, slots int) {
 	v.self.Region, v.self.Slots = region, slots
 	v.announce(now)
 }
@@ -231,11 +231,11 @@
 			buckets = append(buckets, i)
 		}
 	}
-	return v.InParts(buckets), buckets
+	return v.InBuckets(buckets), buckets
 }
 
 // InParts returns the live members in the given digest buckets, ordered by id.
-func (v *View) InParts(buckets []int) []Member {
+func (v *View) InBuckets(buckets []int) []Member {
 	if len(buckets) == 0 {
 		return nil
 	}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -111,10 +111,10 @@
 		live      bool
 		suspected bool
 	}{
-		{"mark for an unknown member", func(v *membership.View) { v.MergeMark(start, membership.Mark{ID: "z", Counter: 1}) }, true, false},
+		{"mark for an unknown member", func(v *membership.View) { v.MergeSuspicion(start, membership.Suspicion{ID: "z", Counter: 1}) }, true, false},
 		{"mark for an old announcement", func(v *membership.View) {
 			v.Merge(start, member("b", 2))
-			v.MergeMark(start, membership.Mark{ID: "b", Counter: 1})
+			v.MergeSuspicion(start, membership.Suspicion{ID: "b", Counter: 1})
 		}, true, false},
 		{"suspected", func(v *membership.View) { v.Suspect(start, "b") }, true, true},
 		{"refuted", func(v *membership.View) { v.Suspect(start, "b"); v.Merge(at(time.Second), member("b", 2)) }, true, false},
@@ -135,7 +135,7 @@
 			v.Tick(at(5*time.Second), false)
 			v.Merge(at(6*time.Second), member("b", 2))
 		}, true, false},
-		{"another member answers at the address", func(v *membership.View) { v.Remove(start, "b") }, false, true},
+		{"another member answers at the address", func(v *membership.View) { v.MarkDead(start, "b") }, false, true},
 		{"left", func(v *membership.View) {
 			m := member("b", 1)
 			m.State = membership.StateLeft
@@ -166,7 +166,7 @@
 func TestTombstonesExpire(t *testing.T) {
 	v := membership.NewView(start, member("a", 1))
 	v.Merge(start, member("b", 1))
-	v.Remove(start, "b")
+	v.MarkDead(start, "b")
 	v.Tick(start.Add(membership.TombstoneRetention-time.Second), false)
 	_, ok := v.Get("b")
 	require.True(t, ok)
--- a/mesh/announce.go
+++ b/mesh/announce.go
@@ -49,15 +49,15 @@
 func (n *Node) applyAnnouncement(a Announcement) bool {
 	n.mu.Lock()
 	current, _ := n.tracker.Current()
-	if a.Gone && a.Backend.Born == 0 {
+	if a.Deregistered && a.Backend.StartMillis == 0 {
 		if a.Backend.ID != current.ID {
 			n.mu.Unlock()
 			return true
 		}
 		a.Backend = current
 	}
-	transition := n.tracker.Hear(a.Backend, a.Sequence, a.Gone || a.Leaving)
-	if transition == directory.HeardNothing {
+	transition := n.tracker.Observe(a.Backend, a.Sequence, a.Deregistered || a.Leaving)
+	if transition == directory.NoTransition {
 		current, state := n.tracker.Current()
 		recorded := state != directory.Leaving || current != a.Backend || n.recovery.recordedDeparture == current
 		n.mu.Unlock()
@@ -66,10 +66,10 @@
 	n.setBackendLocked(a)
 	peers := n.backendStateChangedLocked()
 	n.mu.Unlock()
-	n.transport.Connect(peers)
-	n.log.Info("backend-server-heard", "id", a.Backend.ID, "born", a.Backend.Born, "sequence", a.Sequence, "gone", a.Gone,
-		"leaving", a.Leaving, "serving", transition == directory.HeardServing, "before", current.ID)
-	if transition == directory.HeardLeaving {
+	n.transport.SetPersistentPeers(peers)
+	n.log.Info("backend-server-heard", "id", a.Backend.ID, "born", a.Backend.StartMillis, "sequence", a.Sequence, "gone", a.Deregistered,
+		"leaving", a.Leaving, "serving", transition == directory.BecameServing, "before", current.ID)
+	if transition == directory.BecameLeaving {
 		return n.recordDeparture(a.Backend)
 	}
 	n.transport.Broadcast(n.selfUpdate())
@@ -229,7 +229,7 @@
 		if node.Region != n.settings.Region || node.Address == n.settings.CallsAddress {
 			continue
 		}
-		unreachableFor := n.transport.Unreachable(node.Address)
+		unreachableFor := n.transport.UnreachableFor(node.Address)
 		if unreachableFor < after {
 			continue
 		}
--- a/mesh/backend.go
+++ b/mesh/backend.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return exchangeResult{outcome: outcomeExpired, reason: "head-unreadable"}
 	}
-	b.n.deployment.Prepare(h, Passed{Remaining: remaining, Backend: id, Caller: j.m.Caller})
+	b.n.deployment.Prepare(h, ForwardMeta{Remaining: remaining, Backend: id, Caller: j.m.Caller})
 	maxIdle := defaultBackendIdleTimeout
 	if !j.m.Idempotent {
 		maxIdle = nonIdempotentIdleTimeout
@@ -229,14 +229,14 @@
 }
 
 // classifyAnswer converts an answer to an exchangeResult and releases the connection.
-func (b *backend) classifyAnswer(j *job, k *backendConn, resp *fasthttp.Response, reply Reply) exchangeResult {
+func (b *backend) classifyAnswer(j *job, k *backendConn, resp *fasthttp.Response, reply AnswerMeta) exchangeResult {
 	b.release(k, resp, reply)
 	switch {
 	case reply.OtherBackend:
 		return exchangeResult{outcome: outcomeRejected, reason: "other-backend-server", status: resp.StatusCode(), backendGone: true}
 	case reply.NotRun:
 		return exchangeResult{outcome: outcomeRejected, reason: "backend-server", status: resp.StatusCode()}
-	case !reply.Stamped || reply.ID == "":
+	case !reply.Signed || reply.ID == "":
 		b.n.log.Warn("answer-not-stamped", "request", j.m.RequestID, "status", resp.StatusCode(), "id", reply.ID)
 		return exchangeResult{outcome: outcomeLost, reason: "answer-not-stamped"}
 	}
@@ -246,8 +246,8 @@
 
 // release returns a connection to the idle ones. It closes it if the answer asks for that, if there are unread bytes, which
 // belong to no request, or if the answer is neither signed nor marked as not run.
-func (b *backend) release(k *backendConn, resp *fasthttp.Response, reply Reply) {
-	if resp.ConnectionClose() || k.r.Buffered() > 0 || !reply.Stamped && !reply.NotRun {
+func (b *backend) release(k *backendConn, resp *fasthttp.Response, reply AnswerMeta) {
+	if resp.ConnectionClose() || k.r.Buffered() > 0 || !reply.Signed && !reply.NotRun {
 		k.close()
 		return
 	}
@@ -285,7 +285,7 @@
 	now := n.clock.Now()
 	n.mu.Lock()
 	current, _ := n.tracker.Current()
-	if current != b || !n.tracker.Lost() {
+	if current != b || !n.tracker.MarkUnreachable() {
 		n.mu.Unlock()
 		return
 	}
@@ -295,10 +295,10 @@
 			digests = append(digests, j.m.Digest)
 		}
 	}
-	reports := n.quarantine.Crashed(now, b.ID+"@"+time.UnixMilli(b.Born).UTC().Format(time.RFC3339Nano), digests)
+	reports := n.quarantine.Crashed(now, b.ID+"@"+time.UnixMilli(b.StartMillis).UTC().Format(time.RFC3339Nano), digests)
 	peers := n.updateCandidatesLocked()
 	n.mu.Unlock()
-	n.transport.Connect(peers)
+	n.transport.SetPersistentPeers(peers)
 	n.backend.closeIdle()
 	n.log.Warn("backend-server-lost", "id", b.ID, "why", reason, "running", len(digests))
 	n.metrics.Add("backend-server-losses", 1)
--- a/mesh/carry.go
+++ b/mesh/carry.go
@@ -88,13 +88,13 @@
 	if wait := a.Load.slots().Wait; r.shortestWait == 0 || wait < r.shortestWait {
 		r.shortestWait = max(wait, minRetryAfter)
 	}
-	if waited >= choice.Wait || r.offeredWait[choice.Address] >= choice.Wait {
+	if waited >= choice.MaxWait || r.offeredWait[choice.Address] >= choice.MaxWait {
 		r.excluded = r.excluded.With(choice.Address)
 	}
 	if r.offeredWait == nil {
 		r.offeredWait = map[string]time.Duration{}
 	}
-	r.offeredWait[choice.Address] = choice.Wait
+	r.offeredWait[choice.Address] = choice.MaxWait
 }
 
 // refusal returns the result of a request for which no other node may be tried. A request that may have run must not be
@@ -113,7 +113,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.chooser.Choose(now, dispatch.Query{Service: r.service, Route: r.route.Name, Objective: r.route.Objective,
-		Exclude: r.excluded, Within: max(r.maxWait-r.waited, 0)}, n.rand)
+		Exclude: r.excluded, MaxWait: max(r.maxWait-r.waited, 0)}, n.rand)
 }
 
 // takeRepeat takes a repeat from the shared retry budget and reports whether the route and the budget allow it.
@@ -124,7 +124,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ok := n.windows.Take(now, r.service, 1, len(n.directory.Nodes()))
+	ok := n.windows.Withdraw(now, r.service, 1, len(n.directory.Nodes()))
 	if ok {
 		n.metrics.Add("repeats", 1, r.service)
 	} else {
@@ -139,13 +139,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if a.Load.Limit > 0 {
-		n.chooser.Report(now, address, a.Load.slots())
+		n.chooser.RecordLoad(now, address, a.Load.slots())
 	}
 	var o dispatch.Outcome
 	switch a.Outcome {
 	case outcomeAnswered:
 		r.sent++
-		o = dispatch.Answered{Route: r.route.Name, Ran: time.Duration(a.RanMicros) * time.Microsecond}
+		o = dispatch.Answered{Route: r.route.Name, RunTime: time.Duration(a.RanMicros) * time.Microsecond}
 	case outcomeCapped:
 		o = dispatch.Capped{Route: r.route.Name}
 	case outcomeUnusable:
@@ -157,9 +157,9 @@
 			o = dispatch.Unusable{}
 		}
 	default:
-		o = dispatch.Ended{}
+		o = dispatch.Inconclusive{}
 	}
-	n.chooser.Learn(now, address, o)
+	n.chooser.RecordOutcome(now, address, o)
 }
 
 // attempt sends the request to one node and waits for the answer. It returns a result instead if the caller disconnects or
@@ -167,10 +167,10 @@
 func (n *Node) attempt(now time.Time, r *request, choice dispatch.Choice) (answerMessage, result) {
 	m := callMessage{Service: r.service, Route: r.route.Name, RequestID: r.id, Caller: n.settings.Service, Rank: r.route.Rank,
 		Idempotent: r.route.Idempotent, RemainingMS: r.deadline.Sub(now).Milliseconds(),
-		WaitMS: choice.Wait.Milliseconds(), Digest: r.digest, Head: r.head, Body: r.body}
-	if choice.Region {
+		WaitMS: choice.MaxWait.Milliseconds(), Digest: r.digest, Head: r.head, Body: r.body}
+	if choice.CrossRegion {
 		n.metrics.Add("calls-to-other-regions", 1, r.service)
-	} else if choice.Zone {
+	} else if choice.CrossZone {
 		n.metrics.Add("calls-to-other-zones", 1, r.service)
 	}
 	timer := time.NewTimer(r.deadline.Add(answerMargin).Sub(now))
--- a/mesh/deployment.go
+++ b/mesh/deployment.go
@@ -27,24 +27,24 @@
 	// ReadyPath returns the path of the readiness endpoint.
 	ReadyPath() string
 	// ReadRequest extracts the request id and the remaining time from the headers of a request.
-	ReadRequest(h *fasthttp.RequestHeader) Claims
+	ReadRequest(h *fasthttp.RequestHeader) RequestMeta
 	// Prepare sets the headers that a backend server expects on a request.
-	Prepare(h *fasthttp.RequestHeader, p Passed)
+	Prepare(h *fasthttp.RequestHeader, p ForwardMeta)
 	// ReadAnswer extracts metadata from the headers of a backend server's answer.
-	ReadAnswer(h *fasthttp.ResponseHeader) Reply
+	ReadAnswer(h *fasthttp.ResponseHeader) AnswerMeta
 	// ReadAnnouncement parses a heartbeat or a deregistration of a backend server.
 	ReadAnnouncement(ctx *fasthttp.RequestCtx) (Announcement, error)
 }
 
 // Claims is the metadata that a request carries in its headers.
-type Claims struct {
+type RequestMeta struct {
 	ID string
 	// Remaining is the time until the caller's deadline, or zero if the request states none.
 	Remaining time.Duration
 }
 
 // Passed is the metadata that a node adds to a request before it sends it to its backend server.
-type Passed struct {
+type ForwardMeta struct {
 	Remaining time.Duration
 	// Backend is the id of the only backend server that may run the request.
 	Backend string
@@ -53,11 +53,11 @@
 }
 
 // Reply is the metadata that a backend server's answer carries in its headers.
-type Reply struct {
+type AnswerMeta struct {
 	// ID is the id of the request that the answer belongs to, or empty if it names none.
 	ID string
 	// Stamped is set when the answer carries the signature of the backend server.
-	Stamped bool
+	Signed bool
 	// NotRun is set when the backend server states that it did not run the request.
 	NotRun bool
 	// OtherBackend is set when a backend server with another id answers at the address.
@@ -72,7 +72,7 @@
 	// Sequence increases with each announcement of an incarnation.
 	Sequence uint64
 	// Gone is set on a deregistration.
-	Gone bool
+	Deregistered bool
 	// Leaving is set while the backend server is draining: it takes no new calls.
 	Leaving bool
 	Service string
--- a/mesh/entry.go
+++ b/mesh/entry.go
@@ -143,8 +143,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r.service = n.splits.Next(r.route, n.rand)
-	n.windows.Requested(now, r.service)
-	r.maxWait = maxQueueWait(r.route, remaining, n.chooser.Typical(r.route.Name), n.config.Load().LeastRank())
+	n.windows.CountRequest(now, r.service)
+	r.maxWait = maxQueueWait(r.route, remaining, n.chooser.TypicalRunTime(r.route.Name), n.config.Load().LeastImportantRank())
 }
 
 // maxQueueWait returns how long a request may wait for a slot. A request of the lowest priority is refused early, while its
--- a/mesh/gossip.go
+++ b/mesh/gossip.go
@@ -10,7 +10,7 @@
 const storeGrace = 400 * time.Millisecond
 
 // Greeting implements link.Handler.
-func (n *Node) Greeting() []byte {
+func (n *Node) Hello() []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return encode(helloMessage{Node: n.selfLocked(), Versions: n.versionsLocked()})
@@ -18,7 +18,7 @@
 
 // Greeted implements link.Handler. It returns a kept departure to the node that it belongs to and pulls newer state at once,
 // so that a node that has just started recovers from its peers.
-func (n *Node) Greeted(b []byte, reply func([]byte)) {
+func (n *Node) HandleHello(b []byte, reply func([]byte)) {
 	var hello helloMessage
 	if err := decode(b, &hello); err != nil {
 		n.log.Warn("greeting-malformed", "error", err)
@@ -29,7 +29,7 @@
 		n.recovery.firstPeerAt = n.clock.Now()
 	}
 	n.updateNodeLocked(hello.Node)
-	departed, ok := n.directory.Held(hello.Node.Address)
+	departed, ok := n.directory.PendingDeparture(hello.Node.Address)
 	n.mu.Unlock()
 	if ok {
 		reply(encode(gossipMessage{RecordedDeparture: &departure{Address: hello.Node.Address, Backend: departed}}))
@@ -43,11 +43,11 @@
 	if node.State == directory.Absent {
 		return
 	}
-	if n.directory.Seen(node) {
+	if n.directory.MergeReport(node) {
 		n.updateCandidatesLocked()
 	}
 	if node.State == directory.Serving {
-		n.chooser.Usable(node.Address)
+		n.chooser.MarkUsable(node.Address)
 	}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Heard implements link.Handler.
-func (n *Node) Heard(b []byte, reply func([]byte)) {
+func (n *Node) HandleStatus(b []byte, reply func([]byte)) {
 	var theirs versions
 	if err := decode(b, &theirs); err != nil {
 		n.log.Warn("status-malformed", "error", err)
@@ -102,7 +102,7 @@
 }
 
 // Notice implements link.Handler.
-func (n *Node) Notice(b []byte, reply func([]byte)) {
+func (n *Node) HandleNotice(b []byte, reply func([]byte)) {
 	var m gossipMessage
 	if err := decode(b, &m); err != nil {
 		n.log.Warn("notice-malformed", "error", err)
@@ -119,7 +119,7 @@
 	}
 	if m.KeepDeparture != nil {
 		n.mu.Lock()
-		n.directory.Hold(m.KeepDeparture.Address, m.KeepDeparture.Backend)
+		n.directory.AddPendingDeparture(m.KeepDeparture.Address, m.KeepDeparture.Backend)
 		n.mu.Unlock()
 		reply(encode(gossipMessage{DepartureKept: m.KeepDeparture}))
 	}
--- a/mesh/head.go
+++ b/mesh/head.go
@@ -21,7 +21,7 @@
 		}
 	}
 	for key := range h.All() {
-		if name := string(key); call.ConnectionHeader(name) {
+		if name := string(key); call.IsHopByHopHeader(name) {
 			out.Del(name)
 		}
 	}
@@ -43,7 +43,7 @@
 		out.Del(name)
 	}
 	for key := range h.All() {
-		if name := string(key); call.ConnectionHeader(name) && name != fasthttp.HeaderContentLength {
+		if name := string(key); call.IsHopByHopHeader(name) && name != fasthttp.HeaderContentLength {
 			out.Del(name)
 		}
 	}
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -75,7 +75,7 @@
 	// Seed is the seed of the node's random choices; zero selects a random seed.
 	Seed uint64
 	// ForgetAfter is how long a node of the own region must be unreachable before its row is removed. The default is 10 minutes.
-	ForgetAfter time.Duration
+	RemoveUnreachableAfter time.Duration
 }
 
 // Node is a running sidecar node beside one backend server.
@@ -91,7 +91,7 @@
 	pool        *kernel.Pool
 	transport   *link.Transport
 	backend     *backend
-	callerWatch hangup.Watch
+	callerWatch hangup.Watcher
 	servers     []*fasthttp.Server
 	listeners   []net.Listener
 	config      atomic.Pointer[routing.Config]
@@ -112,8 +112,8 @@
 	jobs       map[uint64]*job
 	nextJob    uint64
 	chooser    dispatch.Chooser
-	splits     routing.Splits
-	windows    retry.Windows
+	splits     routing.TrafficSplitter
+	windows    retry.WindowBudgets
 	quarantine quarantine.Table
 	recovery   recovery
 	// behindSince is when another node first reported a newer version of the configuration or of the directory.
@@ -136,17 +136,17 @@
 		n.Abort()
 		return nil, Err.Wrap(err)
 	}
-	n.log.Allow(maxRequestLinesPerSecond, "request-refused", "request-failed", "request-failed-at-backend-server",
+	n.log.SetRate(maxRequestLinesPerSecond, "request-refused", "request-failed", "request-failed-at-backend-server",
 		"request-not-routed", "call-not-answered")
 	n.group.Go("ticks", n.runTicks)
 	n.group.Go("sync-config", n.syncConfig)
 	n.group.Go("sync-directory", n.syncDirectory)
-	n.group.Go("recovery", n.recover)
-	if o.ForgetAfter == 0 {
-		o.ForgetAfter = defaultRemoveAfter
+	n.group.Go("recovery", n.awaitRecovery)
+	if o.RemoveUnreachableAfter == 0 {
+		o.RemoveUnreachableAfter = defaultRemoveAfter
 	}
-	n.group.Every("forget", o.ForgetAfter/removalChecks, 0.5, n.rand,
-		func(ctx context.Context) { n.removeUnreachable(ctx, o.ForgetAfter) })
+	n.group.Every("forget", o.RemoveUnreachableAfter/removalChecks, 0.5, n.rand,
+		func(ctx context.Context) { n.removeUnreachable(ctx, o.RemoveUnreachableAfter) })
 	n.log.Info("node-started", "service", n.settings.Service, "availability-zone", n.settings.AvailabilityZone,
 		"callers", n.settings.CallersListen, "calls", n.settings.CallsAddress, "deployment", n.settings.Deployment)
 	return n, nil
@@ -173,7 +173,7 @@
 	}
 	n.rand = kernel.NewRand(seed)
 	n.service = o.Settings.Service
-	n.windows = retry.Windows{Ratio: o.Settings.RepeatRatio, Fixed: float64(o.Settings.RepeatsAllowed),
+	n.windows = retry.WindowBudgets{Ratio: o.Settings.RepeatRatio, Fixed: float64(o.Settings.RepeatsAllowed),
 		Length: o.Settings.RepeatWindow}
 	n.backend = newBackend(n, o.Settings.BackendServer)
 	n.group = kernel.NewGroup(ctx)
@@ -326,7 +326,7 @@
 	n.behindSince.config = time.Time{}
 	peers := n.backendStateChangedLocked()
 	n.mu.Unlock()
-	n.transport.Connect(peers)
+	n.transport.SetPersistentPeers(peers)
 	n.log.Info("config-in-force", "version", cfg.Version(), "routes", len(cfg.Routes()), "source", source)
 	n.metrics.Set("config-version", int64(cfg.Version()))
 }
@@ -335,7 +335,7 @@
 func (n *Node) Wait() error { return n.group.Wait() }
 
 // Known returns the number of nodes in the directory, including this one.
-func (n *Node) Known() int {
+func (n *Node) NodeCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.directory.Nodes())
--- a/mesh/serving.go
+++ b/mesh/serving.go
@@ -34,7 +34,7 @@
 }
 
 // Call implements link.Handler. It submits a call of another node.
-func (n *Node) Call(c *link.Served) {
+func (n *Node) Call(c *link.IncomingCall) {
 	var m callMessage
 	if err := decode(c.Payload, &m); err != nil {
 		n.log.Error("call-malformed", "error", err)
@@ -75,13 +75,13 @@
 	case n.quarantine.Refuses(now, j.m.Digest, 0):
 		return n.answerLocked(j, outcomeQuarantined, "quarantined"), true
 	}
-	if cfg := n.config.Load(); cfg != nil && j.m.Rank >= cfg.LeastRank() && cfg.LeastRank() > 0 {
+	if cfg := n.config.Load(); cfg != nil && j.m.Rank >= cfg.LeastImportantRank() && cfg.LeastImportantRank() > 0 {
 		if j.admission, j.capped = n.caps.Admit(j.m.Route, n.queue.Limit()); !j.capped {
 			return n.answerLocked(j, outcomeCapped, "short-below"), true
 		}
 	}
 	latest := now.Add(time.Duration(j.m.WaitMS) * time.Millisecond)
-	switch n.queue.Arrive(now, slots.Call{ID: j.id, Rank: j.m.Rank, Latest: latest}).(type) {
+	switch n.queue.Arrive(now, slots.Call{ID: j.id, Rank: j.m.Rank, LatestStart: latest}).(type) {
 	case slots.Start:
 		n.jobs[j.id] = j
 		n.startLocked(now, j)
@@ -97,7 +97,7 @@
 // releaseCapLocked releases the admission of a job that did not run.
 func (n *Node) releaseCapLocked(j *job) {
 	if j.capped {
-		n.caps.Cancelled(j.m.Route)
+		n.caps.Cancel(j.m.Route)
 	}
 }
 
@@ -107,10 +107,10 @@
 	switch {
 	case !j.capped:
 	case j.cancelled || x.outcome != outcomeAnswered:
-		n.caps.Cancelled(j.m.Route)
+		n.caps.Cancel(j.m.Route)
 	default:
 		late := x.status >= fasthttp.StatusInternalServerError && ran > j.deadline.Sub(j.started)/2
-		n.caps.Ended(j.m.Route, j.admission, n.queue.Limit(), late)
+		n.caps.Finish(j.m.Route, j.admission, n.queue.Limit(), late)
 		n.metrics.Set("route-cap", int64(n.caps.Limit(j.m.Route)), j.m.Route)
 	}
 }
--- a/mesh/sync.go
+++ b/mesh/sync.go
@@ -176,7 +176,7 @@
 	rewrite := known && state != directory.Absent && (own.Removed || own.Node.State != state) && !n.stopping.Load()
 	count := len(n.directory.Nodes())
 	n.mu.Unlock()
-	n.transport.Connect(peers)
+	n.transport.SetPersistentPeers(peers)
 	n.metrics.Set("nodes", int64(count))
 	if rewrite {
 		n.writeOwnRowAsync()
@@ -186,14 +186,14 @@
 // setDepartedLocked applies a recorded departure of the own backend server.
 func (n *Node) setDepartedLocked(b directory.Incarnation) {
 	n.recovery.recordedDeparture = b
-	if n.tracker.Left(b) {
+	if n.tracker.MarkLeaving(b) {
 		n.applyEventsAsync(n.queue.Close())
 	}
 }
 
 // recover waits until the node knows whether its backend server was leaving before the node started. It learns this
 // from the store or, while the store is unavailable, from the nodes that connect to it.
-func (n *Node) recover(ctx context.Context) error {
+func (n *Node) awaitRecovery(ctx context.Context) error {
 	for {
 		now := n.clock.Now()
 		n.mu.Lock()
@@ -209,7 +209,7 @@
 		}
 		n.mu.Unlock()
 		if done {
-			n.transport.Connect(peers)
+			n.transport.SetPersistentPeers(peers)
 			n.log.Info("recovered", "source", source, "took", now.Sub(n.recovery.started))
 			return nil
 		}
--- a/node/backend.go
+++ b/node/backend.go
@@ -196,7 +196,7 @@
 	reports := n.quarantined.recordCrash(n.clock.Now(), crashID(n.self.ID, n.backend.countConnectionLoss()), []uint64{f.meta.Digest})
 	n.log.Warn("backend-server-broke-off", "request", f.meta.RequestID, "error", err, "suspects", len(reports))
 	n.metrics.Add("backend-server-broken-calls", 1)
-	n.control.SpreadCrash(reports)
+	n.control.FloodCrashes(reports)
 	return true
 }
 
@@ -215,5 +215,5 @@
 	n.metrics.Add("backend-server-crashes", 1)
 	n.choosers.update(n, *n.members.Load())
 	n.control.SetState(membership.StateStarting)
-	n.control.SpreadCrash(reports)
+	n.control.FloodCrashes(reports)
 }
--- a/node/burn.go
+++ b/node/burn.go
@@ -34,7 +34,7 @@
 	}
 	switch r.Reason {
 	case call.ReasonQuarantined:
-		n.burn.Event(burn.EventQuarantined, op.Name)
+		n.burn.RecordEvent(burn.EventQuarantined, op.Name)
 	case call.ReasonShed, call.ReasonQueueFull:
 		n.entryAdmission.recordRefusal(n.clock.Now(), op.Class)
 	}
@@ -52,10 +52,10 @@
 func (n *Node) recordProtectiveStates(context.Context) {
 	for service, ids := range n.choosers.ejected() {
 		for range ids {
-			n.burn.Event(burn.EventEjected, service)
+			n.burn.RecordEvent(burn.EventEjected, service)
 		}
 	}
 	if _, load := n.gate.levelAndLoad(); load.Queued > 0 && int(load.Limit) <= n.backend.slots()/2 {
-		n.burn.Event(burn.EventLimitLowered, n.self.Service)
+		n.burn.RecordEvent(burn.EventLimitLowered, n.self.Service)
 	}
 }
--- a/node/chooser.go
+++ b/node/chooser.go
@@ -13,7 +13,7 @@
 type chooser struct {
 	mu       sync.Mutex
 	balancer *balance.Chooser
-	hedges   retry.Hedges
+	hedges   retry.HedgeBudget
 	token    uint64
 }
 
@@ -45,13 +45,13 @@
 func (c *chooser) countCall() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hedges.Called()
+	c.hedges.CountCall()
 }
 
 func (c *chooser) takeHedge() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hedges.Take()
+	return c.hedges.Withdraw()
 }
 
 // choosers holds a chooser for each service that this node calls.
@@ -111,7 +111,7 @@
 	ejected := map[string][]string{}
 	for service, c := range t.byService {
 		c.mu.Lock()
-		if ids := c.balancer.Avoided(); len(ids) > 0 {
+		if ids := c.balancer.Ejected(); len(ids) > 0 {
 			ejected[service] = ids
 		}
 		c.mu.Unlock()
--- a/node/flight.go
+++ b/node/flight.go
@@ -14,10 +14,10 @@
 	policy retry.Policy
 
 	mu      sync.Mutex
-	retries retry.Account
+	retries retry.Budget
 }
 
-func newRetryBudget(policy retry.Policy, account retry.Account) *retryBudget {
+func newRetryBudget(policy retry.Policy, account retry.Budget) *retryBudget {
 	return &retryBudget{policy: policy, retries: account}
 }
 
@@ -34,7 +34,7 @@
 func (b *retryBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.retries.Take()
+	return b.retries.Withdraw()
 }
 
 func (b *retryBudget) allocate() int {
@@ -52,7 +52,7 @@
 func (b *retryBudget) remaining() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.retries.Left()
+	return b.retries.Remaining()
 }
 
 // flight is a call that is queued for or runs on the own backend server. It is the parent of the calls that the backend
--- a/node/header.go
+++ b/node/header.go
@@ -48,7 +48,7 @@
 }
 
 func isForwarded(name string) bool {
-	return !call.ConnectionHeader(name) && !strings.HasPrefix(name, headerPrefix)
+	return !call.IsHopByHopHeader(name) && !strings.HasPrefix(name, headerPrefix)
 }
 
 // countInternalHeaders counts the headers of a request that only nodes may send.
--- a/node/inner.go
+++ b/node/inner.go
@@ -12,7 +12,7 @@
 
 // innerCalls records the calls that a backend server makes for one parent call, to detect repeats.
 type innerCalls struct {
-	seen  retry.Inner
+	seen  retry.RepeatDetector
 	byKey map[string]*innerCall
 }
 
@@ -27,7 +27,7 @@
 func (f *flight) isRepeat(digest uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.inner.seen.Repeats(digest)
+	return f.inner.seen.IsRepeat(digest)
 }
 
 // claimInner returns the record of a non-idempotent call, and true if it is new and must be made. It returns nil when the
--- a/node/input_test.go
+++ b/node/input_test.go
@@ -185,7 +185,7 @@
 	if dir != "" {
 		keyring, err := keys.Load(keys.PathsIn(dir, role))
 		require.NoError(t, err)
-		config = keyring.Client("http/1.1")
+		config = keyring.ClientConfig("http/1.1")
 		config.VerifyConnection = nil // The node must refuse the connection, not this client.
 	}
 	conn, err := tls.Dial("tcp", address, config)
@@ -329,7 +329,7 @@
 	keyring, err := keys.Load(keys.PathsIn(d.dir, keys.RoleNode))
 	require.NoError(f, err)
 	client := &fasthttp.HostClient{Addr: s.Addresses().Calls, Dial: func(address string) (net.Conn, error) {
-		return tls.Dial("tcp", address, keyring.Client("http/1.1"))
+		return tls.Dial("tcp", address, keyring.ClientConfig("http/1.1"))
 	}}
 	f.Add([]byte(call.Meta{Attempt: call.Attempt{Sender: "a", Receiver: id}, RemainingMS: 1000}.Encode()), []byte{0xa0})
 	f.Add([]byte("oQEJ"), toCBOR(f, map[int]any{1: 1, 2: map[int]any{1: "a", 2: id, 3: 7}, 3: true}))
--- a/node/node.go
+++ b/node/node.go
@@ -68,7 +68,7 @@
 	Address() string
 	Members() []membership.Member
 	SetState(s membership.State)
-	SpreadCrash(reports []quarantine.Report)
+	FloodCrashes(reports []quarantine.Report)
 	PollStore()
 	Stop() error
 }
@@ -118,7 +118,7 @@
 	attempts       attemptTable
 	quarantined    quarantineTable
 	entryAdmission entryAdmission
-	watch          hangup.Watch
+	watch          hangup.Watcher
 
 	servers   []*fasthttp.Server
 	addresses Addresses
--- a/node/owned.go
+++ b/node/owned.go
@@ -21,7 +21,7 @@
 	issuer *ticket.Issuer
 
 	mu    sync.Mutex
-	owner *ticket.Owner
+	owner *ticket.OwnerTable
 	// changed is closed and replaced whenever a request ends, to wake the resends that wait for it.
 	changed chan struct{}
 }
@@ -29,21 +29,21 @@
 func (o *ticketOwner) init(keys [][]byte, member, address string, started time.Time) {
 	o.issuer = ticket.NewIssuer(keys[0], member, address, started)
 	o.issuer.SetKeys(keys)
-	o.owner = ticket.NewOwner(member, started)
+	o.owner = ticket.NewOwnerTable(member, started)
 	o.changed = make(chan struct{})
 }
 
-func (o *ticketOwner) begin(now time.Time, t ticket.Ticket, out *outbound) (ticket.Verdict, <-chan struct{}) {
+func (o *ticketOwner) begin(now time.Time, t ticket.Ticket, out *outbound) (ticket.Decision, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.owner.Begin(now, t, out.op.Service, out.digest), o.changed
 }
 
 // recheck returns the verdict for a request whose earlier verdict was Join.
-func (o *ticketOwner) recheck(now time.Time, t ticket.Ticket, out *outbound) (ticket.Verdict, <-chan struct{}) {
+func (o *ticketOwner) recheck(now time.Time, t ticket.Ticket, out *outbound) (ticket.Decision, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.owner.Again(now, t, out.op.Service, out.digest), o.changed
+	return o.owner.DecideAfterJoin(now, t, out.op.Service, out.digest), o.changed
 }
 
 func (o *ticketOwner) finish(now time.Time, seq uint64, a ticket.Answer, unused int) {
@@ -120,7 +120,7 @@
 func (n *Node) handleOwnTicket(ctx *fasthttp.RequestCtx, out *outbound, t ticket.Ticket) {
 	// All sends with one ticket are the same request and have the same priority value.
 	out.requestID = t.Owner[:min(8, len(t.Owner))] + "-" + strconv.FormatUint(t.Seq, 10)
-	out.priority.Value = out.priority.Value&call.FairValues | baseValue(n.ticketKeys[0], out.requestID)
+	out.priority.Value = out.priority.Value&call.FairShareValues | baseValue(n.ticketKeys[0], out.requestID)
 	timer := time.NewTimer(out.deadline.Sub(n.clock.Now()))
 	defer timer.Stop()
 	verdict, changed := n.ticketOwner.begin(n.clock.Now(), t, out)
@@ -129,7 +129,7 @@
 		case ticket.Run:
 			n.runTicketed(ctx, out, t, v.Allowance)
 			return
-		case ticket.Kept:
+		case ticket.Replay:
 			n.writeOutcome(ctx, out, v.Answer, out.op.Line.String())
 			return
 		case ticket.Refuse:
--- a/node/peer.go
+++ b/node/peer.go
@@ -114,7 +114,7 @@
 
 // withTLS wraps the calls listener in mutual TLS.
 func (n *Node) withTLS(ln net.Listener) net.Listener {
-	return tls.NewListener(ln, n.keyring.Server("http/1.1"))
+	return tls.NewListener(ln, n.keyring.ServerConfig("http/1.1"))
 }
 
 // dialPeer opens a connection to another node with mutual TLS. A failure wraps errDial.
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	secured := tls.Client(conn, n.keyring.Client("http/1.1"))
+	secured := tls.Client(conn, n.keyring.ClientConfig("http/1.1"))
 	if err := secured.SetDeadline(n.clock.Now().Add(2 * time.Second)); err != nil {
 		return nil, errors.Join(errDial, err)
 	}
--- a/node/request.go
+++ b/node/request.go
@@ -12,7 +12,7 @@
 	policy retry.Policy
 
 	mu    sync.Mutex
-	sends retry.Requests
+	sends retry.ResendDetector
 }
 
 // setPolicy selects the retry policy by name. An empty name selects the default.
@@ -49,5 +49,5 @@
 
 // ticketBudget returns the budget of a request that the owner of its ticket starts.
 func (r *resendTracker) ticketBudget(allowance int) *retryBudget {
-	return newRetryBudget(r.policy, retry.NewAccount(allowance))
+	return newRetryBudget(r.policy, retry.NewBudget(allowance))
 }
--- a/node/serving.go
+++ b/node/serving.go
@@ -265,7 +265,7 @@
 		return
 	}
 	if reports := n.quarantined.recordAnswer(n.clock.Now(), f.meta.Digest); len(reports) > 0 {
-		n.control.SpreadCrash(reports)
+		n.control.FloodCrashes(reports)
 	}
 	copyResponseHeaders(&ctx.Response.Header, &resp.Header)
 	ctx.SetStatusCode(resp.StatusCode())
--- a/node/tables.go
+++ b/node/tables.go
@@ -83,7 +83,7 @@
 func (e *entryAdmission) recordRefusal(now time.Time, class string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.shares.Refused(now, class)
+	e.shares.RecordRefusal(now, class)
 }
 
 // attemptTable guards the table of non-idempotent attempts at the own backend server.
@@ -97,7 +97,7 @@
 func (a *attemptTable) register(now time.Time, attempt call.Attempt) call.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.table.Arrive(now, attempt)
+	return a.table.Admit(now, attempt)
 }
 
 func (a *attemptTable) finish(now time.Time, attempt call.Attempt, answer ticket.Answer) {
@@ -118,7 +118,7 @@
 	h := xxhash.New()
 	_, _ = h.Write(secret)
 	_, _ = h.WriteString(requestID)
-	return uint8(h.Sum64() % call.FairValues)
+	return uint8(h.Sum64() % call.FairShareValues)
 }
 
 func (n *Node) newRequestID() string {
--- a/node/world_test.go
+++ b/node/world_test.go
@@ -134,7 +134,7 @@
 	c.d.publish()
 }
 
-func (c fakeControl) SpreadCrash(reports []quarantine.Report) {
+func (c fakeControl) FloodCrashes(reports []quarantine.Report) {
 	c.d.mu.Lock()
 	defer c.d.mu.Unlock()
 	for id, o := range c.d.nodes {
--- a/pressure/levels.go
+++ b/pressure/levels.go
@@ -28,7 +28,7 @@
 // Levels holds the admission level of each operation as learned from answers. The zero value is ready to use. The caller
 // serializes access to it.
 type Levels struct {
-	operations *kernel.Table[string, operationLevel]
+	operations *kernel.LRU[string, operationLevel]
 }
 
 type operationLevel struct {
@@ -63,9 +63,9 @@
 			return
 		}
 		if l.operations == nil {
-			l.operations = kernel.NewTable[string, operationLevel](maxOperations)
+			l.operations = kernel.NewLRU[string, operationLevel](maxOperations)
 		}
-		o = l.operations.Put(operation)
+		o = l.operations.GetOrAdd(operation)
 		o.key = openKey
 	}
 	current := o.inForce(now)
@@ -91,7 +91,7 @@
 	if o == nil || o.inForce(now) >= openKey {
 		return call.LeastImportant, 0
 	}
-	return call.PriorityOf(uint16(o.inForce(now))), now.Sub(o.lastConfirmed)
+	return call.PriorityFromKey(uint16(o.inForce(now))), now.Sub(o.lastConfirmed)
 }
 
 func (l *Levels) find(operation string) *operationLevel {
--- a/pressure/levels_test.go
+++ b/pressure/levels_test.go
@@ -91,7 +91,7 @@
 		now, strictest := epoch, call.LeastImportant
 		for range rapid.IntRange(1, 50).Draw(t, "answers") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms)
-			p := call.PriorityOf(uint16(rapid.IntRange(0, int(call.LeastImportant.Key())).Draw(t, "key")))
+			p := call.PriorityFromKey(uint16(rapid.IntRange(0, int(call.LeastImportant.Key())).Draw(t, "key")))
 			l.Learn(now, "maps", p)
 			strictest = call.MoreImportant(strictest, p)
 			level, age := l.Level(now, "maps")
--- a/pressure/shares.go
+++ b/pressure/shares.go
@@ -25,12 +25,12 @@
 // Shares marks the requests of a caller that exceed its max-min fair share of a class. The zero value is ready to use. The
 // caller serializes access to it.
 type Shares struct {
-	classes *kernel.Table[string, class]
+	classes *kernel.LRU[string, class]
 }
 
 // class holds the decaying request counts of one class.
 type class struct {
-	callers      *kernel.Table[string, callerUsage]
+	callers      *kernel.LRU[string, callerUsage]
 	requests     float64
 	refused      float64
 	lastComputed time.Time
@@ -50,27 +50,27 @@
 func (s *Shares) Value(now time.Time, name, caller string, base uint8) uint8 {
 	c := s.class(now, name)
 	c.requests++
-	u := c.callers.Put(caller)
+	u := c.callers.GetOrAdd(caller)
 	u.requests++
-	base &= call.FairValues - 1
+	base &= call.FairShareValues - 1
 	if u.excessSum += u.excessShare; u.excessSum >= 1 {
 		u.excessSum--
-		return base + call.FairValues
+		return base + call.FairShareValues
 	}
 	return base
 }
 
 // Refused counts a request of the class that was shed anywhere in the call graph. A class is contended while its requests are
 // refused; otherwise no request is marked as excess.
-func (s *Shares) Refused(now time.Time, name string) { s.class(now, name).refused++ }
+func (s *Shares) RecordRefusal(now time.Time, name string) { s.class(now, name).refused++ }
 
 func (s *Shares) class(now time.Time, name string) *class {
 	if s.classes == nil {
-		s.classes = kernel.NewTable[string, class](maxClasses)
+		s.classes = kernel.NewLRU[string, class](maxClasses)
 	}
-	c := s.classes.Put(name)
+	c := s.classes.GetOrAdd(name)
 	if c.callers == nil {
-		c.callers = kernel.NewTable[string, callerUsage](maxCallers)
+		c.callers = kernel.NewLRU[string, callerUsage](maxCallers)
 		c.lastComputed = now
 	}
 	if intervals := now.Sub(c.lastComputed) / shareInterval; intervals > 0 {
@@ -88,7 +88,7 @@
 	for range intervals {
 		retained *= shareDecay
 	}
-	c.callers.Each(func(_ string, u *callerUsage) bool {
+	c.callers.Retain(func(_ string, u *callerUsage) bool {
 		u.excessShare = 0
 		if share > 0 && u.requests > share {
 			u.excessShare = 1 - share/u.requests
@@ -108,7 +108,7 @@
 		return 0
 	}
 	c.scratch = c.scratch[:0]
-	c.callers.Each(func(_ string, u *callerUsage) bool {
+	c.callers.Retain(func(_ string, u *callerUsage) bool {
 		c.scratch = append(c.scratch, u.requests)
 		return true
 	})
--- a/pressure/shares_test.go
+++ b/pressure/shares_test.go
@@ -24,12 +24,12 @@
 			for pending[i] += rate / 1000; pending[i] >= 1; pending[i]-- {
 				value := s.Value(now, "orders", fmt.Sprint("caller", i), 5)
 				offered++
-				if value >= call.FairValues {
+				if value >= call.FairShareValues {
 					excess++
 				}
 				if at >= length-time.Second {
 					sent[i]++
-					if value >= call.FairValues {
+					if value >= call.FairShareValues {
 						marked[i]++
 					}
 				}
@@ -40,7 +40,7 @@
 			total += rate
 		}
 		for refusals += max(0, total-capacity) / 1000; refusals >= 1; refusals-- {
-			s.Refused(now, "orders")
+			s.RecordRefusal(now, "orders")
 		}
 	}
 	for i := range marked {
@@ -93,7 +93,7 @@
 			require.Equal(t, base%128, value%128)
 			require.True(t, contended || value < 128)
 			if rapid.Bool().Draw(t, "refused") {
-				s.Refused(now, "orders")
+				s.RecordRefusal(now, "orders")
 				contended = true
 			}
 		}
@@ -112,7 +112,7 @@
 		now = now.Add(100 * time.Microsecond)
 		s.Value(now, "orders", names[i%len(names)], 5)
 		if i%2 == 0 {
-			s.Refused(now, "orders")
+			s.RecordRefusal(now, "orders")
 		}
 	}
 }
--- a/quarantine/size_test.go
+++ b/quarantine/size_test.go
@@ -24,7 +24,7 @@
 		before := heapBytes()
 		var t quarantine.Table
 		for i := range quarantine.MaxDigests {
-			for crash := range quarantine.CrashBound {
+			for crash := range quarantine.MaxCrashes {
 				t.Merge(now, quarantine.Report{Digest: uint64(i), Crash: fmt.Sprintf("%032x-%d", i, crash)})
 			}
 		}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -7,7 +7,7 @@
 
 const (
 	// CrashBound is the number of backend servers that one request may crash before it is refused.
-	CrashBound = 2
+	MaxCrashes = 2
 	// Period is the duration of a quarantine, from the last crash or the last refused send.
 	Period = 10 * time.Minute
 	// CrashTTL is how long the crashes of a digest are counted after its last event. It is longer than Period so that one more
@@ -47,7 +47,7 @@
 }
 
 func (e *entry) quarantined(now time.Time) bool {
-	return e.uncleared >= CrashBound && now.Before(e.quarantinedUntil)
+	return e.uncleared >= MaxCrashes && now.Before(e.quarantinedUntil)
 }
 
 // Table counts crashes by request digest. Its zero value is empty. The caller serializes access to it.
@@ -60,7 +60,7 @@
 func (t *Table) Refuses(now time.Time, digest uint64, crashes int) bool {
 	e := t.lookup(now, digest)
 	if e == nil || !e.quarantined(now) {
-		return crashes >= CrashBound
+		return crashes >= MaxCrashes
 	}
 	e.lastEvent, e.quarantinedUntil = now, now.Add(Period)
 	return true
@@ -135,7 +135,7 @@
 	case e.quarantined(now):
 		return e.uncleared
 	default:
-		return min(e.uncleared, CrashBound-1)
+		return min(e.uncleared, MaxCrashes-1)
 	}
 }
 
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -23,7 +23,7 @@
 	require.Empty(t, table.Crashed(start, "a-1", []uint64{7}))
 	require.Equal(t, 1, table.Crashes(start, 7), "a crash counts once")
 	require.False(t, table.Refuses(start, 7, 1))
-	require.True(t, table.Refuses(start, 8, quarantine.CrashBound), "by the count received with the call")
+	require.True(t, table.Refuses(start, 8, quarantine.MaxCrashes), "by the count received with the call")
 
 	require.True(t, table.Merge(start, quarantine.Report{Digest: 7, Crash: "b-1"}))
 	require.Equal(t, 2, table.Crashes(start, 7))
--- a/retry/account.go
+++ b/retry/account.go
@@ -2,24 +2,24 @@
 
 const (
 	// Bound is the maximum number of retries of one send of a request over its whole call chain.
-	Bound = 3
+	MaxRetriesPerSend = 3
 	// RequestBound is the maximum number of retries of a request over its whole call chain, including resends by the caller.
-	RequestBound = 6
+	MaxRetriesPerRequest = 6
 )
 
 // Account is the retry budget of one call. Its zero value allows no retries. The caller serializes access to it.
-type Account struct {
+type Budget struct {
 	remaining int
 }
 
 // NewAccount returns an account that allows n retries.
-func NewAccount(n int) Account { return Account{remaining: max(n, 0)} }
+func NewBudget(n int) Budget { return Budget{remaining: max(n, 0)} }
 
 // Left returns the number of retries that remain.
-func (a *Account) Left() int { return a.remaining }
+func (a *Budget) Remaining() int { return a.remaining }
 
 // Take withdraws one retry and reports whether one remained.
-func (a *Account) Take() bool {
+func (a *Budget) Withdraw() bool {
 	if a.remaining == 0 {
 		return false
 	}
@@ -28,7 +28,7 @@
 }
 
 // Share withdraws the share of an inner call, half of the remaining retries rounded up, and returns it.
-func (a *Account) Share() int {
+func (a *Budget) Share() int {
 	share := (a.remaining + 1) / 2
 	a.remaining -= share
 	return share
@@ -36,7 +36,7 @@
 
 // Return refunds the unused part of a share, once for each Share. An answer that states more than the share is invalid, so
 // the whole share counts as used.
-func (a *Account) Return(share, unused int) {
+func (a *Budget) Return(share, unused int) {
 	if unused > 0 && unused <= share {
 		a.remaining += unused
 	}
@@ -44,15 +44,15 @@
 
 // ForResend returns the account of the n-th resend (0 is the first send), and false when the request has exhausted its
 // resends.
-func ForResend(n int) (Account, bool) {
+func BudgetForResend(n int) (Budget, bool) {
 	switch n {
 	case 0:
-		return NewAccount(Bound), true
+		return NewBudget(MaxRetriesPerSend), true
 	case 1:
-		return NewAccount(1), true
+		return NewBudget(1), true
 	case 2:
-		return NewAccount(0), true
+		return NewBudget(0), true
 	default:
-		return Account{}, false
+		return Budget{}, false
 	}
 }
--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -19,13 +19,13 @@
 
 // outstandingShare is the allowance of an attempt whose answer is outstanding.
 type outstandingShare struct {
-	account *retry.Account
+	account *retry.Budget
 	given   int
 }
 
 // serve serves a call with an account. It starts all inner calls at once and retries each while the account allows it. Their
 // answers state the unused retries, are lost, or state more than the share.
-func (c *callTree) serve(account *retry.Account, depth int) {
+func (c *callTree) serve(account *retry.Budget, depth int) {
 	c.calls++
 	if depth == 0 || c.calls > 2000 {
 		return
@@ -45,9 +45,9 @@
 		case 1:
 			c.policy.Return(p.account, p.given, p.given+1+rapid.IntRange(0, 300).Draw(c.t, "claim"))
 		default:
-			c.policy.Return(p.account, p.given, inner.Left())
+			c.policy.Return(p.account, p.given, inner.Remaining())
 		}
-		if rapid.Bool().Draw(c.t, "retry") && p.account.Take() {
+		if rapid.Bool().Draw(c.t, "retry") && p.account.Withdraw() {
 			c.retries++
 			pending = append(pending, outstandingShare{p.account, c.policy.Share(p.account)})
 		}
@@ -72,48 +72,48 @@
 			}
 			c.serve(&account, 15)
 			if n == 0 {
-				require.LessOrEqual(t, c.retries, retry.Bound)
+				require.LessOrEqual(t, c.retries, retry.MaxRetriesPerSend)
 			}
 		}
-		require.LessOrEqual(t, c.retries, retry.RequestBound)
+		require.LessOrEqual(t, c.retries, retry.MaxRetriesPerRequest)
 	})
 }
 
 // Guards against an account that loses retries although all answers arrive, that exceeds Bound because of a header, or that
 // refunds more than a share.
 func TestAccountSplitsAndRefunds(t *testing.T) {
-	account := retry.NewAccount(3)
+	account := retry.NewBudget(3)
 	first, second := account.Share(), account.Share()
 	require.Equal(t, []int{2, 1, 0}, []int{first, second, account.Share()})
-	require.False(t, account.Take())
+	require.False(t, account.Withdraw())
 	account.Return(first, first)
 	account.Return(second, second+1)
 	account.Return(second, -1)
-	require.Equal(t, 2, account.Left())
+	require.Equal(t, 2, account.Remaining())
 	account.Return(second, second)
-	require.Equal(t, 3, account.Left())
+	require.Equal(t, 3, account.Remaining())
 
 	for n, want := range []int{3, 1, 0} {
-		resend, ok := retry.ForResend(n)
-		require.Equal(t, []any{want, true}, []any{resend.Left(), ok}, "resend %d", n)
+		resend, ok := retry.BudgetForResend(n)
+		require.Equal(t, []any{want, true}, []any{resend.Remaining(), ok}, "resend %d", n)
 	}
 	policy, err := retry.Policies.Lookup("shared")
 	require.NoError(t, err)
 	received := policy.Received(255)
-	require.Equal(t, retry.Bound, received.Left())
+	require.Equal(t, retry.MaxRetriesPerSend, received.Remaining())
 }
 
 // Guards against a "per-hop" policy that does not multiply retries with the depth, which would make it useless as a baseline.
 func TestPerHopRetriesMultiply(t *testing.T) {
 	policy, err := retry.Policies.Lookup("per-hop")
 	require.NoError(t, err)
-	var attempts func(account retry.Account, depth int) int
-	attempts = func(account retry.Account, depth int) int {
+	var attempts func(account retry.Budget, depth int) int
+	attempts = func(account retry.Budget, depth int) int {
 		if depth == 0 {
 			return 1
 		}
 		from, n := policy.Outgoing(&account), 0
-		for again := true; again; again = from.Take() {
+		for again := true; again; again = from.Withdraw() {
 			n += attempts(policy.Received(policy.Share(from)), depth-1)
 		}
 		return n
@@ -121,6 +121,6 @@
 	account, ok := policy.Entry(9)
 	require.True(t, ok)
 	received := policy.Received(0)
-	require.Equal(t, retry.MaxRetriesPerHop, received.Left())
+	require.Equal(t, retry.MaxRetriesPerHop, received.Remaining())
 	require.Equal(t, 4*4*4, attempts(account, 3))
 }
--- a/retry/hedges.go
+++ b/retry/hedges.go
@@ -10,13 +10,13 @@
 
 // Hedges bounds the hedged requests of a node to a share of its recent calls. Its zero value is ready to use. The caller
 // serializes access to it.
-type Hedges struct {
+type HedgeBudget struct {
 	calls  int
 	hedges int
 }
 
 // Called counts a call that may be hedged.
-func (h *Hedges) Called() {
+func (h *HedgeBudget) CountCall() {
 	h.calls++
 	if h.calls >= halvingThreshold {
 		h.calls /= 2
@@ -25,7 +25,7 @@
 }
 
 // Take reports whether the share allows one more hedge, and counts it if so.
-func (h *Hedges) Take() bool {
+func (h *HedgeBudget) Withdraw() bool {
 	if (h.hedges+1)*callsPerHedge > h.calls {
 		return false
 	}
--- a/retry/hedges_test.go
+++ b/retry/hedges_test.go
@@ -13,15 +13,15 @@
 // Mutation: callsPerHedge = 19; Called without the halving.
 func TestHedgesAreAShareOfRecentCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h retry.Hedges
+		var h retry.HedgeBudget
 		calls, hedges := 0, 0
 		for _, n := range rapid.SliceOfN(rapid.IntRange(1, 3000), 1, 20).Draw(t, "calls") {
 			for range n {
-				h.Called()
+				h.CountCall()
 			}
 			calls += n
 			burst := 0
-			for h.Take() {
+			for h.Withdraw() {
 				burst++
 			}
 			hedges += burst
@@ -34,12 +34,12 @@
 // Guards against hedges that are always denied, which would disable hedging.
 // Mutation: Take always false.
 func TestHedgesReachTheirShare(t *testing.T) {
-	var h retry.Hedges
-	require.False(t, h.Take())
+	var h retry.HedgeBudget
+	require.False(t, h.Withdraw())
 	hedges := 0
 	for range 10000 {
-		h.Called()
-		if h.Take() {
+		h.CountCall()
+		if h.Withdraw() {
 			hedges++
 		}
 	}
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -9,15 +9,15 @@
 type Policy interface {
 	// Entry returns the account of the n-th resend of a request by its caller (0 is the first send), and false when the
 	// resend must be refused.
-	Entry(n int) (Account, bool)
+	Entry(n int) (Budget, bool)
 	// Received returns the account of a call that arrived from another node with this allowance.
-	Received(allowance int) Account
+	Received(allowance int) Budget
 	// Outgoing returns the account from which the retries of one outgoing call of the parent are withdrawn.
-	Outgoing(parent *Account) *Account
+	Outgoing(parent *Budget) *Budget
 	// Share withdraws the allowance that is sent with one attempt of an outgoing call, and returns it.
-	Share(a *Account) int
+	Share(a *Budget) int
 	// Return refunds the unused part of the allowance, as stated in the answer to an attempt.
-	Return(a *Account, share, unused int)
+	Return(a *Budget, share, unused int)
 }
 
 // Policies is the registry of retry policies by name.
@@ -34,20 +34,20 @@
 // shared divides one account among all calls of the chain.
 type shared struct{}
 
-func (shared) Entry(n int) (Account, bool)          { return ForResend(n) }
-func (shared) Received(allowance int) Account       { return NewAccount(min(allowance, Bound)) }
-func (shared) Outgoing(parent *Account) *Account    { return parent }
-func (shared) Share(a *Account) int                 { return a.Share() }
-func (shared) Return(a *Account, share, unused int) { a.Return(share, unused) }
+func (shared) Entry(n int) (Budget, bool)          { return BudgetForResend(n) }
+func (shared) Received(allowance int) Budget       { return NewBudget(min(allowance, MaxRetriesPerSend)) }
+func (shared) Outgoing(parent *Budget) *Budget     { return parent }
+func (shared) Share(a *Budget) int                 { return a.Share() }
+func (shared) Return(a *Budget, share, unused int) { a.Return(share, unused) }
 
 // perHop is the baseline policy in which each hop retries independently, so that retries multiply with the depth.
 type perHop struct{}
 
-func (perHop) Entry(int) (Account, bool) { return NewAccount(MaxRetriesPerHop), true }
-func (perHop) Received(int) Account      { return NewAccount(MaxRetriesPerHop) }
-func (perHop) Share(*Account) int        { return 0 }
-func (perHop) Return(*Account, int, int) {}
-func (perHop) Outgoing(*Account) *Account {
-	a := NewAccount(MaxRetriesPerHop)
+func (perHop) Entry(int) (Budget, bool) { return NewBudget(MaxRetriesPerHop), true }
+func (perHop) Received(int) Budget      { return NewBudget(MaxRetriesPerHop) }
+func (perHop) Share(*Budget) int        { return 0 }
+func (perHop) Return(*Budget, int, int) {}
+func (perHop) Outgoing(*Budget) *Budget {
+	a := NewBudget(MaxRetriesPerHop)
 	return &a
 }
--- a/retry/requests.go
+++ b/retry/requests.go
@@ -34,7 +34,7 @@
 }
 
 // Requests detects resends at the entry node. Its zero value is empty. The caller serializes access to it.
-type Requests struct {
+type ResendDetector struct {
 	byID     ttlMap[sendKey, int]
 	byDigest ttlMap[sendKey, failuresByResend]
 }
@@ -48,7 +48,7 @@
 type failuresByResend [maxSends]int
 
 // Begin records a send and returns its resend number, 0 for a first send. Every Begin must be followed by an End.
-func (r *Requests) Begin(now time.Time, s Send) int {
+func (r *ResendDetector) Begin(now time.Time, s Send) int {
 	if s.RequestID != "" {
 		sends := r.byID.get(now, s.sendKey(), IDLifetime)
 		*sends++
@@ -69,7 +69,7 @@
 
 // End records the result of the send with this resend number. Good means that the caller received an answer from a backend
 // server.
-func (r *Requests) End(now time.Time, s Send, resend int, good bool) {
+func (r *ResendDetector) End(now time.Time, s Send, resend int, good bool) {
 	if s.RequestID == "" && !good {
 		failures := r.byDigest.get(now, s.sendKey(), DigestLifetime)
 		failures[min(max(resend, 0), maxSends-1)]++
@@ -77,7 +77,7 @@
 }
 
 // Len returns the number of stored request IDs and digests.
-func (r *Requests) Len() int { return len(r.byID.entries) + len(r.byDigest.entries) }
+func (r *ResendDetector) Len() int { return len(r.byID.entries) + len(r.byDigest.entries) }
 
 func (s Send) sendKey() sendKey {
 	k := sendKey{caller: xxhash.Sum64String(s.Caller), request: s.Digest}
@@ -89,12 +89,12 @@
 
 // Inner detects inner calls that the backend server of one parent call repeats on its own. Its zero value is empty. The
 // caller serializes access to it.
-type Inner struct{ digests kernel.Set[uint64] }
+type RepeatDetector struct{ digests kernel.Set[uint64] }
 
 // Repeats records an inner call with this digest of method, target and body. It reports whether the call counts as a retry,
 // which must be withdrawn from the parent's account with Take. Every new call beyond MaxInner different ones counts as a
 // retry, so that retries stay bounded.
-func (i *Inner) Repeats(digest uint64) bool {
+func (i *RepeatDetector) IsRepeat(digest uint64) bool {
 	if i.digests.Has(digest) || len(i.digests) >= MaxInner {
 		return true
 	}
--- a/retry/requests_test.go
+++ b/retry/requests_test.go
@@ -35,7 +35,7 @@
 		"another id":                      {{byID, 0, false}, {retry.Send{Caller: "truck 4", RequestID: "r2", Digest: 1}, 0, false}, {page, 0, false}},
 	}
 	for name, steps := range cases {
-		var requests retry.Requests
+		var requests retry.ResendDetector
 		for i, s := range steps {
 			n := requests.Begin(start, s.send)
 			require.Equal(t, s.want, n, "%s, step %d", name, i)
@@ -46,7 +46,7 @@
 
 // Guards against the browsers of one workshop that exhaust each other's resends by requesting the same page concurrently.
 func TestConcurrentEqualRequestsAreNotResends(t *testing.T) {
-	var requests retry.Requests
+	var requests retry.ResendDetector
 	page := retry.Send{Caller: "workshop", Digest: 1}
 	for want := range 3 {
 		for range 20 {
@@ -60,7 +60,7 @@
 
 // Guards against a user whose later requests still count as resends of an old failure, and against entries that never expire.
 func TestRequestsExpire(t *testing.T) {
-	var requests retry.Requests
+	var requests retry.ResendDetector
 	page := retry.Send{Caller: "truck 4", Digest: 1}
 	byID := retry.Send{Caller: "truck 4", RequestID: "r1"}
 	require.Zero(t, requests.Begin(start, byID))
@@ -76,7 +76,7 @@
 
 // Guards against tables that callers can grow without bound.
 func TestRequestsAreBounded(t *testing.T) {
-	var requests retry.Requests
+	var requests retry.ResendDetector
 	for n := range retry.MaxRequests + 10 {
 		requests.Begin(start, retry.Send{Caller: fmt.Sprint(n), RequestID: "r"})
 		requests.End(start, retry.Send{Caller: fmt.Sprint(n), Digest: 1}, 0, false)
@@ -88,14 +88,14 @@
 
 // Guards against a backend server that repeats inner calls without a withdrawal from its parent's account.
 func TestInnerRecognisesRepeats(t *testing.T) {
-	var inner retry.Inner
-	require.False(t, inner.Repeats(1))
-	require.False(t, inner.Repeats(2))
-	require.True(t, inner.Repeats(1))
-	require.True(t, inner.Repeats(1))
+	var inner retry.RepeatDetector
+	require.False(t, inner.IsRepeat(1))
+	require.False(t, inner.IsRepeat(2))
+	require.True(t, inner.IsRepeat(1))
+	require.True(t, inner.IsRepeat(1))
 	for digest := uint64(3); digest <= retry.MaxInner; digest++ {
-		require.False(t, inner.Repeats(digest))
+		require.False(t, inner.IsRepeat(digest))
 	}
-	require.True(t, inner.Repeats(retry.MaxInner+1), "a call beyond MaxInner counts as a retry")
-	require.True(t, inner.Repeats(retry.MaxInner+1))
+	require.True(t, inner.IsRepeat(retry.MaxInner+1), "a call beyond MaxInner counts as a retry")
+	require.True(t, inner.IsRepeat(retry.MaxInner+1))
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -19,7 +19,7 @@
 // Windows bounds the repeats that all nodes together send to each service in a sliding window. The nodes do not coordinate:
 // every node uses the part that its own requests allow, and its part of the fixed allowance. The caller serializes access to
 // it. Its zero value allows no repeats.
-type Windows struct {
+type WindowBudgets struct {
 	// Ratio is the allowed number of repeats relative to the number of requests in a window.
 	Ratio float64
 	// Fixed is the number of repeats that all nodes together may send in a window in addition to the ratio.
@@ -27,7 +27,7 @@
 	// Length is the length of a window.
 	Length time.Duration
 
-	services *kernel.Table[string, window]
+	services *kernel.LRU[string, window]
 }
 
 type window struct {
@@ -38,7 +38,7 @@
 }
 
 // Requested counts a request for a service.
-func (w *Windows) Requested(now time.Time, service string) {
+func (w *WindowBudgets) CountRequest(now time.Time, service string) {
 	if s := w.advance(now, service); s != nil {
 		s.requests[s.bucket]++
 	}
@@ -46,7 +46,7 @@
 
 // Take reports whether the budget allows a repeat, and counts it if so. The cost is the number of calls that the repeat causes
 // at the service, and nodes is the number of nodes that share the fixed allowance.
-func (w *Windows) Take(now time.Time, service string, cost float64, nodes int) bool {
+func (w *WindowBudgets) Withdraw(now time.Time, service string, cost float64, nodes int) bool {
 	s := w.advance(now, service)
 	if s == nil {
 		return false
@@ -64,14 +64,14 @@
 }
 
 // advance returns the window of a service after it discards the expired buckets.
-func (w *Windows) advance(now time.Time, service string) *window {
+func (w *WindowBudgets) advance(now time.Time, service string) *window {
 	if w.Length <= 0 {
 		return nil
 	}
 	if w.services == nil {
-		w.services = kernel.NewTable[string, window](maxWindowServices)
+		w.services = kernel.NewLRU[string, window](maxWindowServices)
 	}
-	s := w.services.Put(service)
+	s := w.services.GetOrAdd(service)
 	bucketLength := w.Length / windowBuckets
 	if s.bucketStart.IsZero() {
 		s.bucketStart = now
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -15,9 +15,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, fixed = 0.2, 50.0
 		const length = 10 * time.Second
-		nodes := make([]retry.Windows, rapid.IntRange(1, 8).Draw(t, "nodes"))
+		nodes := make([]retry.WindowBudgets, rapid.IntRange(1, 8).Draw(t, "nodes"))
 		for i := range nodes {
-			nodes[i] = retry.Windows{Ratio: ratio, Fixed: fixed, Length: length}
+			nodes[i] = retry.WindowBudgets{Ratio: ratio, Fixed: fixed, Length: length}
 		}
 		start := time.Unix(1000, 0)
 		var requests, repeats []time.Time
@@ -25,9 +25,9 @@
 		for range 400 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			n := &nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
-			n.Requested(now, "maps")
+			n.CountRequest(now, "maps")
 			requests = append(requests, now)
-			if n.Take(now, "maps", 1, len(nodes)) {
+			if n.Withdraw(now, "maps", 1, len(nodes)) {
 				repeats = append(repeats, now)
 			}
 		}
@@ -50,10 +50,10 @@
 
 // Guards against a repeat that causes many downstream calls and is counted as one.
 func TestWindowsCountTheCostOfARepeat(t *testing.T) {
-	w := retry.Windows{Ratio: 0.2, Fixed: 20, Length: 10 * time.Second}
+	w := retry.WindowBudgets{Ratio: 0.2, Fixed: 20, Length: 10 * time.Second}
 	now := time.Unix(1000, 0)
-	require.True(t, w.Take(now, "maps", 10, 1))
-	require.False(t, w.Take(now, "maps", 1, 1))
-	require.True(t, w.Take(now.Add(11*time.Second), "maps", 10, 1))
-	require.False(t, (&retry.Windows{}).Take(now, "maps", 1, 1))
+	require.True(t, w.Withdraw(now, "maps", 10, 1))
+	require.False(t, w.Withdraw(now, "maps", 1, 1))
+	require.True(t, w.Withdraw(now.Add(11*time.Second), "maps", 10, 1))
+	require.False(t, (&retry.WindowBudgets{}).Withdraw(now, "maps", 1, 1))
 }
--- a/rollout/adopter.go
+++ b/rollout/adopter.go
@@ -32,13 +32,13 @@
 func (a *Adopter) InForce() uint64 { return a.inForce }
 
 // Held returns the highest version whose text the node has, or 0 for none.
-func (a *Adopter) Held() uint64 { return a.localVersion }
+func (a *Adopter) LocalVersion() uint64 { return a.localVersion }
 
 // Wanted reports whether a version is higher than the highest version whose text the node has.
-func (a *Adopter) Wanted(version uint64) bool { return version > a.localVersion }
+func (a *Adopter) IsNewer(version uint64) bool { return version > a.localVersion }
 
 // Heard returns the highest version known from this node, the store and the current peers.
-func (a *Adopter) Heard() uint64 {
+func (a *Adopter) HighestKnown() uint64 {
 	highest := max(a.localVersion, a.storeVersion.Or(0))
 	for _, version := range a.peerVersions {
 		highest = max(highest, version)
@@ -47,7 +47,7 @@
 }
 
 // Hold records that the node has the text of a version, and reports whether the version is higher than before.
-func (a *Adopter) Hold(now time.Time, version uint64) bool {
+func (a *Adopter) SetLocalVersion(now time.Time, version uint64) bool {
 	if version <= a.localVersion {
 		return false
 	}
@@ -56,12 +56,12 @@
 }
 
 // StoreSays records the version that is accepted in the store, 0 for none.
-func (a *Adopter) StoreSays(version uint64) {
+func (a *Adopter) SetStoreVersion(version uint64) {
 	a.storeVersion = kernel.Some(max(version, a.storeVersion.Or(0)))
 }
 
 // PeerSays records the highest version whose text a peer has, 0 for none.
-func (a *Adopter) PeerSays(id string, version uint64) {
+func (a *Adopter) SetPeerVersion(id string, version uint64) {
 	if a.peerVersions == nil {
 		a.peerVersions = map[string]uint64{}
 	}
@@ -69,18 +69,18 @@
 }
 
 // Forget drops the versions of former members, so that a version that only they had does not prevent a node from starting.
-func (a *Adopter) Forget(isMember func(id string) bool) {
+func (a *Adopter) RetainPeers(isMember func(id string) bool) {
 	maps.DeleteFunc(a.peerVersions, func(id string, _ uint64) bool { return !isMember(id) })
 }
 
 // Answered reports whether a peer has reported its version.
-func (a *Adopter) Answered(id string) bool {
+func (a *Adopter) HasPeerVersion(id string) bool {
 	_, ok := a.peerVersions[id]
 	return ok
 }
 
 // PeerHolds returns the highest version that a peer has reported, or 0 for none.
-func (a *Adopter) PeerHolds(id string) uint64 { return a.peerVersions[id] }
+func (a *Adopter) PeerVersion(id string) uint64 { return a.peerVersions[id] }
 
 // Adopt puts the local version in force if that is safe, and returns it. The region lists the other members of the own
 // region; complete reports whether that list came from a peer or the store and not from this node alone.
@@ -102,7 +102,7 @@
 // that was in force in its region. Peers without a configuration only count when every known peer has answered, because they
 // do not know what was in force.
 func (a *Adopter) canAdoptFirst(region []string, complete bool) bool {
-	if a.localVersion < a.Heard() {
+	if a.localVersion < a.HighestKnown() {
 		return false
 	}
 	if _, ok := a.storeVersion.Get(); ok {
--- a/rollout/adopter_test.go
+++ b/rollout/adopter_test.go
@@ -19,7 +19,7 @@
 	reported := func(ids ...string) func(*rollout.Adopter) {
 		return func(a *rollout.Adopter) {
 			for _, id := range ids {
-				a.PeerSays(id, 5)
+				a.SetPeerVersion(id, 5)
 			}
 		}
 	}
@@ -39,35 +39,35 @@
 		{"no other member in the region", nil, true, 0, reported("x", "y"), 5},
 		{"empty peers do not count as three", region, true, time.Hour, func(a *rollout.Adopter) {
 			reported("a")(a)
-			a.PeerSays("b", 0)
-			a.PeerSays("c", 0)
+			a.SetPeerVersion("b", 0)
+			a.SetPeerVersion("c", 0)
 		}, 0},
 		{"empty peers count when all answered", region, true, 2 * time.Second, func(a *rollout.Adopter) {
 			reported("a")(a)
 			for _, id := range region[1:] {
-				a.PeerSays(id, 0)
+				a.SetPeerVersion(id, 0)
 			}
 		}, 5},
-		{"the store answered", region, false, 2 * time.Second, func(a *rollout.Adopter) { a.StoreSays(5) }, 5},
-		{"the store named a higher version", region, false, time.Hour, func(a *rollout.Adopter) { a.StoreSays(6) }, 0},
+		{"the store answered", region, false, 2 * time.Second, func(a *rollout.Adopter) { a.SetStoreVersion(5) }, 5},
+		{"the store named a higher version", region, false, time.Hour, func(a *rollout.Adopter) { a.SetStoreVersion(6) }, 0},
 		{"a peer named a higher version", region, true, time.Hour, func(a *rollout.Adopter) {
 			reported("a", "b", "c")(a)
-			a.PeerSays("d", 6)
+			a.SetPeerVersion("d", 6)
 		}, 0},
 		{"the peer with a higher version was removed", region, true, 0, func(a *rollout.Adopter) {
 			reported("a", "b", "c")(a)
-			a.PeerSays("gone", 6)
-			a.Forget(func(id string) bool { return id != "gone" })
+			a.SetPeerVersion("gone", 6)
+			a.RetainPeers(func(id string) bool { return id != "gone" })
 		}, 5},
 		{"one peer has it, before the timeout", region, false, 1999 * time.Millisecond, func(a *rollout.Adopter) {
-			a.StoreSays(5)
+			a.SetStoreVersion(5)
 			reported("a")(a)
 		}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var a rollout.Adopter
-			a.Hold(start, 5)
+			a.SetLocalVersion(start, 5)
 			c.do(&a)
 			got, ok := a.Adopt(start.Add(c.after), c.region, c.complete)
 			require.Equal(t, c.want, got)
@@ -86,17 +86,17 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "seconds")) * time.Second)
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				a.Hold(now, version.Draw(t, "held"))
+				a.SetLocalVersion(now, version.Draw(t, "held"))
 			case 1:
-				a.StoreSays(version.Draw(t, "stored"))
+				a.SetStoreVersion(version.Draw(t, "stored"))
 			case 2:
-				a.PeerSays(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "peer"), version.Draw(t, "reported"))
+				a.SetPeerVersion(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "peer"), version.Draw(t, "reported"))
 			case 3:
-				a.Forget(func(string) bool { return false })
+				a.RetainPeers(func(string) bool { return false })
 			}
 			if got, ok := a.Adopt(now, []string{"a", "b", "c"}, true); ok {
 				require.Greater(t, got, last)
-				require.Equal(t, a.Held(), got)
+				require.Equal(t, a.LocalVersion(), got)
 				last = got
 			}
 			require.Equal(t, last, a.InForce())
--- a/rollout/apply.go
+++ b/rollout/apply.go
@@ -73,7 +73,7 @@
 }
 
 // Version returns a configuration from the history, and false if that version was never accepted.
-func Version(ctx context.Context, store tablestore.Store, version uint64) (Accepted, bool, error) {
+func AcceptedVersion(ctx context.Context, store tablestore.Store, version uint64) (Accepted, bool, error) {
 	return readAccepted(ctx, store, versionKey(version))
 }
 
@@ -174,7 +174,7 @@
 	if current.ApplyID == a.want.ApplyID {
 		return a.want, true, nil
 	}
-	written, found, err := Version(ctx, a.store, a.want.Version)
+	written, found, err := AcceptedVersion(ctx, a.store, a.want.Version)
 	if err != nil {
 		return Accepted{}, false, err
 	}
@@ -186,7 +186,7 @@
 	}
 	stale := &StaleError{Base: a.want.Version - 1, Current: current}
 	for v := a.want.Version; v <= current.Version && len(stale.Since) < maxListedConflicts; v++ {
-		if accepted, ok, err := Version(ctx, a.store, v); err == nil && ok {
+		if accepted, ok, err := AcceptedVersion(ctx, a.store, v); err == nil && ok {
 			stale.Since = append(stale.Since, accepted)
 		}
 	}
--- a/rollout/apply_test.go
+++ b/rollout/apply_test.go
@@ -172,7 +172,7 @@
 				return
 			}
 			require.Equal(t, c.base+1, accepted.Version)
-			history, ok, err := rollout.Version(t.Context(), s, accepted.Version)
+			history, ok, err := rollout.AcceptedVersion(t.Context(), s, accepted.Version)
 			require.NoError(t, err)
 			require.True(t, ok)
 			require.Equal(t, accepted, history)
--- a/routing/config.go
+++ b/routing/config.go
@@ -119,7 +119,7 @@
 func (c *Config) Routes() []*Route { return c.routes }
 
 // LeastRank returns the rank of the least important routes, which is the highest number.
-func (c *Config) LeastRank() int { return c.leastImportantRank }
+func (c *Config) LeastImportantRank() int { return c.leastImportantRank }
 
 // Service returns a service by name.
 func (c *Config) Service(name string) (Service, bool) {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -69,7 +69,7 @@
 		count := 0
 		each := 600 / nodes
 		for n := range nodes {
-			var s routing.Splits
+			var s routing.TrafficSplitter
 			random := kernel.NewRand(uint64(n) + 1)
 			for range each {
 				if s.Next(&r, random) == "maps" {
@@ -86,7 +86,7 @@
 
 // Guards against a weight change that takes effect late because the old round robin sequence continues.
 func TestChangedWeightsTakeEffectAtOnce(t *testing.T) {
-	var s routing.Splits
+	var s routing.TrafficSplitter
 	random := kernel.NewRand(1)
 	first := route("r", "a", "/", routing.Target{Service: "maps", Weight: 100}, routing.Target{Service: "nursery", Weight: 0})
 	second := route("r", "a", "/", routing.Target{Service: "maps", Weight: 0}, routing.Target{Service: "nursery", Weight: 100})
--- a/routing/split.go
+++ b/routing/split.go
@@ -13,8 +13,8 @@
 // it.
 //
 // Each route uses smooth weighted round robin, because random choice deviates from the weights over few requests.
-type Splits struct {
-	routes *kernel.Table[string, weightedRoundRobin]
+type TrafficSplitter struct {
+	routes *kernel.LRU[string, weightedRoundRobin]
 }
 
 type weightedRoundRobin struct {
@@ -25,14 +25,14 @@
 
 // Next returns the service for the next request of a route. A new sequence starts at a random position, so that many nodes
 // with few requests each do not all start with the same service.
-func (s *Splits) Next(r *Route, random *kernel.Rand) string {
+func (s *TrafficSplitter) Next(r *Route, random *kernel.Rand) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
 	if s.routes == nil {
-		s.routes = kernel.NewTable[string, weightedRoundRobin](maxSplits)
+		s.routes = kernel.NewLRU[string, weightedRoundRobin](maxSplits)
 	}
-	wrr := s.routes.Put(r.Name)
+	wrr := s.routes.GetOrAdd(r.Name)
 	if !slices.Equal(wrr.targets, r.Targets) {
 		wrr.targets, wrr.currentWeights = slices.Clone(r.Targets), make([]int, len(r.Targets))
 		for range random.IntN(r.totalWeight()) {
--- a/setting/document.go
+++ b/setting/document.go
@@ -13,7 +13,7 @@
 
 const (
 	// MaxText is the maximum size of a file in bytes.
-	MaxText = 256 << 10
+	MaxFileBytes = 256 << 10
 	// maxNameLength is the maximum length of a host name label (RFC 1035), since names can be part of host names.
 	maxNameLength = 63
 )
@@ -65,9 +65,9 @@
 // lines of sections, values and problems have file as their file name.
 func Read(file, text string, kinds []Kind) ([]Section, Problems) {
 	r := &reader{file: file}
-	if len(text) > MaxText {
+	if len(text) > MaxFileBytes {
 		r.problems.Add(Line{file, 1}, fmt.Sprintf("the file has %d bytes", len(text)),
-			fmt.Sprintf("keep it within %d bytes", MaxText))
+			fmt.Sprintf("keep it within %d bytes", MaxFileBytes))
 		return nil, r.problems
 	}
 	r.indexLines(strings.TrimPrefix(text, "\ufeff"))
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -44,7 +44,7 @@
 // Guards against accepting a file that is too large for a node to send to others, and against an off-by-one error in the limit.
 func TestReadBoundsFileSize(t *testing.T) {
 	text := "[node]\nservice = maps\n#"
-	text += strings.Repeat("x", setting.MaxText-len(text))
+	text += strings.Repeat("x", setting.MaxFileBytes-len(text))
 	_, problems := read(text)
 	require.Empty(t, problems)
 	_, problems = read(text + "x")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -15,7 +15,7 @@
 
 const (
 	// Variable is the environment variable that can contain the text of the settings, since instances have no disks.
-	Variable = "LOVAGELANE_SETTINGS"
+	EnvironmentVariable = "LOVAGELANE_SETTINGS"
 	// DefaultAdminListen is the default of Node.AdminListen.
 	DefaultAdminListen = "127.0.0.1:7004"
 )
@@ -65,11 +65,11 @@
 // contain the file, the line and the remedy.
 func Load(path string) (Node, error) {
 	if path == "" {
-		text, ok := os.LookupEnv(Variable)
+		text, ok := os.LookupEnv(EnvironmentVariable)
 		if !ok {
-			return Node{}, Err.New("no settings: name a file or put the text into the environment variable %s", Variable)
+			return Node{}, Err.New("no settings: name a file or put the text into the environment variable %s", EnvironmentVariable)
 		}
-		return Parse(Variable, text)
+		return Parse(EnvironmentVariable, text)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, kind := range []string{"node", "keys"} {
-		if _, ok := r.sections[kind]; !ok && len(text) <= setting.MaxText {
+		if _, ok := r.sections[kind]; !ok && len(text) <= setting.MaxFileBytes {
 			r.Add(setting.Line{File: file, Number: 1}, fmt.Sprintf("there is no [%s] section", kind), "add it with the lines "+
 				strings.Join(nodeKinds[slices.IndexFunc(nodeKinds, func(k setting.Kind) bool { return k.Name == kind })].Required, ", "))
 		}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -47,12 +47,12 @@
 	require.NoError(t, err)
 	require.Equal(t, node, got)
 
-	t.Setenv(settings.Variable, valid)
+	t.Setenv(settings.EnvironmentVariable, valid)
 	got, err = settings.Load("")
 	require.NoError(t, err)
 	require.Equal(t, node, got)
 
-	require.NoError(t, os.Unsetenv(settings.Variable))
+	require.NoError(t, os.Unsetenv(settings.EnvironmentVariable))
 	_, err = settings.Load("")
 	require.ErrorContains(t, err, "name a file or put the text into the environment variable LOVAGELANE_SETTINGS")
 	_, err = settings.Load(path + "x")
--- a/slots/caps.go
+++ b/slots/caps.go
@@ -29,7 +29,7 @@
 // fewer concurrent runs, the remaining ones finish in time. The caller serializes access to Caps. The zero value starts each
 // route at a cap of all slots.
 type Caps struct {
-	routes *kernel.Table[string, routeCap]
+	routes *kernel.LRU[string, routeCap]
 }
 
 type routeCap struct {
@@ -50,9 +50,9 @@
 // Ended.
 func (c *Caps) Admit(route string, slots int) (generation int, ok bool) {
 	if c.routes == nil {
-		c.routes = kernel.NewTable[string, routeCap](maxRoutes)
+		c.routes = kernel.NewLRU[string, routeCap](maxRoutes)
 	}
-	r := c.routes.Put(route)
+	r := c.routes.GetOrAdd(route)
 	if r.limit == 0 || r.limit > float64(slots) {
 		r.limit = float64(slots)
 	}
@@ -65,7 +65,7 @@
 }
 
 // Cancelled reverts an admission whose call did not run or ended without a meaningful outcome.
-func (c *Caps) Cancelled(route string) {
+func (c *Caps) Cancel(route string) {
 	if r := c.find(route); r != nil && r.running > 0 {
 		r.running--
 	}
@@ -73,7 +73,7 @@
 
 // Ended records a finished run and adjusts the cap after each window. late is set if the run failed after most of its time
 // had passed.
-func (c *Caps) Ended(route string, generation, slots int, late bool) {
+func (c *Caps) Finish(route string, generation, slots int, late bool) {
 	r := c.find(route)
 	if r == nil {
 		return
--- a/slots/caps_test.go
+++ b/slots/caps_test.go
@@ -59,14 +59,14 @@
 			if !finished && !late {
 				unfinished = append(unfinished, r)
 			} else if m.caps != nil {
-				m.caps.Ended("read", r.generation, m.slots, late)
+				m.caps.Finish("read", r.generation, m.slots, late)
 			}
 		}
 		running = unfinished
 	}
 	for range running {
 		if m.caps != nil {
-			m.caps.Cancelled("read")
+			m.caps.Cancel("read")
 		}
 	}
 	return float64(good) / (total / 2)
@@ -111,7 +111,7 @@
 		}
 		// Between 10 and 30 run at once, and one in 20 ends late.
 		if len(running) > 10+random.IntN(20) {
-			caps.Ended("read", running[0], slotCount, random.IntN(20) == 0)
+			caps.Finish("read", running[0], slotCount, random.IntN(20) == 0)
 			running = running[1:]
 		}
 	}
--- a/slots/heap.go
+++ b/slots/heap.go
@@ -17,7 +17,9 @@
 }
 
 // expiresBefore reports whether e expires before other.
-func (e *entry) expiresBefore(other *entry) bool { return e.call.Latest.Before(other.call.Latest) }
+func (e *entry) expiresBefore(other *entry) bool {
+	return e.call.LatestStart.Before(other.call.LatestStart)
+}
 
 // The orders of the heaps that hold an entry.
 const (
--- a/slots/queue.go
+++ b/slots/queue.go
@@ -21,7 +21,7 @@
 	// Rank is the priority class; rank 0 starts first.
 	Rank int
 	// Latest is the time at which the call expires if it has not started.
-	Latest time.Time
+	LatestStart time.Time
 }
 
 // Decision is the result of Arrive: Start, Wait or Refuse.
@@ -114,7 +114,7 @@
 		return Start{}
 	}
 	wait := q.estimateWait(c)
-	if now.Add(wait).After(c.Latest) || q.startOrder.Len() >= maxWaitingPerSlot*q.limit {
+	if now.Add(wait).After(c.LatestStart) || q.startOrder.Len() >= maxWaitingPerSlot*q.limit {
 		return Refuse{Wait: wait}
 	}
 	q.seq++
@@ -156,7 +156,7 @@
 // Expire removes and returns the waiting calls whose latest start has passed.
 func (q *Queue) Expire(now time.Time) []Event {
 	var events []Event
-	for q.expiryOrder.Len() > 0 && !now.Before(q.expiryOrder.entries[0].call.Latest) {
+	for q.expiryOrder.Len() > 0 && !now.Before(q.expiryOrder.entries[0].call.LatestStart) {
 		e := q.expiryOrder.entries[0]
 		q.remove(e)
 		events = append(events, Expired{e.call.ID})
--- a/slots/queue_test.go
+++ b/slots/queue_test.go
@@ -13,7 +13,7 @@
 var start = time.Unix(1000, 0)
 
 func call(id uint64, rank int, wait time.Duration) slots.Call {
-	return slots.Call{ID: id, Rank: rank, Latest: start.Add(wait)}
+	return slots.Call{ID: id, Rank: rank, LatestStart: start.Add(wait)}
 }
 
 func queue(limit int) *slots.Queue {
@@ -98,12 +98,12 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				c := slots.Call{ID: id, Rank: rapid.IntRange(0, 2).Draw(t, "rank"),
-					Latest: now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "wait")) * time.Millisecond)}
+					LatestStart: now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "wait")) * time.Millisecond)}
 				switch q.Arrive(now, c).(type) {
 				case slots.Start:
 					running[id] = true
 				case slots.Wait:
-					waiting[id] = c.Latest
+					waiting[id] = c.LatestStart
 				}
 			case 2:
 				if done := any(running); done != 0 {
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -176,7 +176,7 @@
 		}
 		b.SetFaults(f)
 	case "/standin/ran":
-		answerJSON(ctx, fasthttp.StatusOK, b.Ran())
+		answerJSON(ctx, fasthttp.StatusOK, b.StartCounts())
 	default:
 		b.handleCall(ctx, path)
 	}
@@ -204,7 +204,7 @@
 }
 
 // Ran returns the counts of the calls started so far.
-func (b *BackendServer) Ran() Ran { return b.starts.snapshot() }
+func (b *BackendServer) StartCounts() StartCounts { return b.starts.snapshot() }
 
 // InFlight returns the number of running and waiting calls.
 func (b *BackendServer) InFlight() int { return int(b.inFlight.Load()) }
--- a/standin/caller.go
+++ b/standin/caller.go
@@ -106,7 +106,7 @@
 		})
 	}
 	err := g.Wait()
-	c.close()
+	c.closeIdleConnections()
 	return results, err
 }
 
@@ -149,7 +149,7 @@
 	return cl
 }
 
-func (c *Caller) close() {
+func (c *Caller) closeIdleConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cl := range c.clients {
--- a/standin/ran.go
+++ b/standin/ran.go
@@ -18,7 +18,7 @@
 }
 
 // Ran counts the starts of calls. A call for an order must start at most once.
-type Ran struct {
+type StartCounts struct {
 	// Requests counts starts by path and request id; a key is "/orders r17".
 	Requests map[string]int `json:"requests"`
 	// Orders counts starts by path and order id.
@@ -28,7 +28,7 @@
 }
 
 // Start is a line of the journal: the start of one call.
-type Start struct {
+type JournalEntry struct {
 	Identity
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -38,7 +38,7 @@
 
 type startLog struct {
 	mu     sync.Mutex
-	counts Ran
+	counts StartCounts
 	// journal is a file to which each start is appended before the call runs, so that the journal is complete even if the
 	// backend server is killed; empty means none.
 	journal string
@@ -47,11 +47,11 @@
 func (l *startLog) record(id Identity, method, path, send string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.append(Start{id, method, path, send}); err != nil {
+	if err := l.appendToJournal(JournalEntry{id, method, path, send}); err != nil {
 		return err
 	}
 	if l.counts.Paths == nil {
-		l.counts = Ran{Requests: map[string]int{}, Orders: map[string]int{}, Paths: map[string]int{}}
+		l.counts = StartCounts{Requests: map[string]int{}, Orders: map[string]int{}, Paths: map[string]int{}}
 	}
 	l.counts.Paths[method+" "+path]++
 	if id.Request != "" {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (l *startLog) append(s Start) error {
+func (l *startLog) appendToJournal(s JournalEntry) error {
 	if l.journal == "" {
 		return nil
 	}
@@ -80,10 +80,10 @@
 	return Error.Wrap(errs.Combine(err, f.Close()))
 }
 
-func (l *startLog) snapshot() Ran {
+func (l *startLog) snapshot() StartCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Ran{Requests: maps.Clone(l.counts.Requests), Orders: maps.Clone(l.counts.Orders), Paths: maps.Clone(l.counts.Paths)}
+	return StartCounts{Requests: maps.Clone(l.counts.Requests), Orders: maps.Clone(l.counts.Orders), Paths: maps.Clone(l.counts.Paths)}
 }
 
 func identityOf(ctx *fasthttp.RequestCtx) Identity {
--- a/standin/result.go
+++ b/standin/result.go
@@ -62,7 +62,7 @@
 	Refused  int            `json:"refused"`
 	Failed   int            `json:"failed"`
 	Unknown  int            `json:"unknown"`
-	Late     int            `json:"late"`
+	TimedOut int            `json:"late"`
 	Sends    int            `json:"sends"`
 	Reasons  map[string]int `json:"reasons"`
 	// Goodput counts answered requests per bucket of their completion time.
@@ -83,7 +83,7 @@
 }
 
 // Share returns the fraction of the sent requests that were answered, or 0 if none was sent.
-func (k *KindResults) Share() float64 {
+func (k *KindResults) AnsweredShare() float64 {
 	if k.Sent == 0 {
 		return 0
 	}
@@ -140,7 +140,7 @@
 	case Unknown:
 		k.Unknown++
 	case TimedOut:
-		k.Late++
+		k.TimedOut++
 	}
 }
 
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -166,12 +166,12 @@
 		})
 	}
 	call(0, headerContext, "ctx-0")
-	eventually(t, func() bool { return b.Ran().Requests["/orders r0"] == 1 }, "the first call runs")
+	eventually(t, func() bool { return b.StartCounts().Requests["/orders r0"] == 1 }, "the first call runs")
 	call(1, headerContext, "ctx-1")
 	eventually(t, func() bool { return b.waiting.Load() == 1 }, "the second call waits")
 	call(2, headerContext, "ctx-2", headerDeadline, "20")
 	eventually(t, func() bool { return statuses[2].Load() == 503 }, "the third call meets its deadline")
-	require.Equal(t, map[string]int{"/orders r0": 1}, b.Ran().Requests, "one slot runs one call")
+	require.Equal(t, map[string]int{"/orders r0": 1}, b.StartCounts().Requests, "one slot runs one call")
 
 	send(t, "POST", url+"/lovagelane/cancel", "", headerContext, "ctx-1")
 	send(t, "POST", url+"/lovagelane/cancel", "", headerContext, "ctx-0")
@@ -284,7 +284,7 @@
 		require.Positive(t, k.Sent, k.Kind)
 		sent += k.Sent
 		count := map[string]int{"ok": k.Answered, "orders": k.Answered, "shed": k.Shed, "drain": k.Refused,
-			"inner": k.Failed, "unknown": k.Unknown, "slow": k.Late, "mixed-up": k.Failed}[k.Kind]
+			"inner": k.Failed, "unknown": k.Unknown, "slow": k.TimedOut, "mixed-up": k.Failed}[k.Kind]
 		require.Equal(t, k.Sent, count, "%s: %+v", k.Kind, k)
 	}
 	require.Contains(t, results.Kind("inner").Reasons, "inner-payments-shed")
--- a/testbed/bed.go
+++ b/testbed/bed.go
@@ -35,7 +35,7 @@
 }
 
 // Bed is a deployment of real processes.
-type Bed struct {
+type Deployment struct {
 	opt   Options
 	group *kernel.Group
 	dir   string
@@ -61,12 +61,12 @@
 }
 
 // New creates a deployment: it issues its keys into a temporary directory and starts the platform.
-func New(ctx context.Context, opt Options) (*Bed, error) {
+func New(ctx context.Context, opt Options) (*Deployment, error) {
 	dir, err := os.MkdirTemp("", "lovagelane-testbed-")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	b := &Bed{opt: opt, dir: dir, group: kernel.NewGroup(context.WithoutCancel(ctx))}
+	b := &Deployment{opt: opt, dir: dir, group: kernel.NewGroup(context.WithoutCancel(ctx))}
 	if err := b.startPlatform(ctx); err != nil {
 		b.Stop()
 		return nil, err
@@ -75,12 +75,12 @@
 }
 
 // Dir returns the temporary directory that contains keys, settings and logs.
-func (b *Bed) Dir() string { return b.dir }
+func (b *Deployment) Dir() string { return b.dir }
 
 // Group returns the group in which the relays of the deployment run.
-func (b *Bed) Group() *kernel.Group { return b.group }
+func (b *Deployment) Group() *kernel.Group { return b.group }
 
-func (b *Bed) startPlatform(ctx context.Context) error {
+func (b *Deployment) startPlatform(ctx context.Context) error {
 	if err := keys.Issue(b.dir); err != nil {
 		return err
 	}
@@ -92,12 +92,12 @@
 	if b.Platform, err = b.start("platform", "standin", "platform", "--listen", addresses[0]); err != nil {
 		return err
 	}
-	return Until(ctx, "platform", func(ctx context.Context) error {
+	return PollUntil(ctx, "platform", func(ctx context.Context) error {
 		return exchangeJSON(ctx, "GET", b.Store+"/standin/counts", nil, nil)
 	})
 }
 
-func (b *Bed) start(name, program string, args ...string) (*Process, error) {
+func (b *Deployment) start(name, program string, args ...string) (*Process, error) {
 	p := NewProcess(b.group, name, b.dir, filepath.Join(b.opt.Bin, program), args...)
 	if err := p.Start(); err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 }
 
 // Add starts the backend servers and nodes of the services without waiting until they serve.
-func (b *Bed) Add(services ...Service) error {
+func (b *Deployment) Add(services ...Service) error {
 	for _, s := range services {
 		for _, zone := range s.Zones {
 			if err := b.addPlace(s, zone); err != nil {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (b *Bed) addPlace(s Service, zone string) error {
+func (b *Deployment) addPlace(s Service, zone string) error {
 	a, err := b.ports.allocate(6)
 	if err != nil {
 		return err
@@ -129,21 +129,21 @@
 		Admin: a[5]}
 	// The index counts the places added so far, so that a place added later does not overwrite the files of an earlier
 	// one.
-	name := fmt.Sprintf("%s-%d", s.Name, len(b.Of(s.Name)))
-	if existing := b.Of(s.Name); b.opt.SharedBackends && len(existing) > 0 {
+	name := fmt.Sprintf("%s-%d", s.Name, len(b.PlacesOf(s.Name)))
+	if existing := b.PlacesOf(s.Name); b.opt.SharedBackends && len(existing) > 0 {
 		p.Backend, p.BackendAddress = existing[0].Backend, existing[0].BackendAddress
 		return b.addNode(name, p)
 	}
 	args := append([]string{"backend-server", "--listen", p.BackendAddress, "--service", s.Name, "--node", p.BackendListen,
 		"--slots", fmt.Sprint(s.Slots), "--connections", fmt.Sprint(s.Connections),
-		"--seed", fmt.Sprint(len(b.Places) + 1)}, s.Backend...)
+		"--seed", fmt.Sprint(len(b.Places) + 1)}, s.BackendFlags...)
 	if p.Backend, err = b.start(name+"-backend", "standin", args...); err != nil {
 		return err
 	}
 	return b.addNode(name, p)
 }
 
-func (b *Bed) addNode(name string, p *Place) (err error) {
+func (b *Deployment) addNode(name string, p *Place) (err error) {
 	if !b.opt.NoNodes {
 		if p.Node, err = b.startNode(name+"-node", p); err != nil {
 			return err
@@ -155,7 +155,7 @@
 
 // startNode writes the settings of a node and starts it. Its seeds are the first three places, as far as they have been
 // started.
-func (b *Bed) startNode(name string, p *Place) (*Process, error) {
+func (b *Deployment) startNode(name string, p *Place) (*Process, error) {
 	var seeds []string
 	for _, other := range b.Places[:min(3, len(b.Places))] {
 		seeds = append(seeds, other.Control)
@@ -182,7 +182,7 @@
 }
 
 // Of returns the places of a service.
-func (b *Bed) Of(service string) []*Place {
+func (b *Deployment) PlacesOf(service string) []*Place {
 	var all []*Place
 	for _, p := range b.Places {
 		if p.Service == service {
@@ -193,7 +193,7 @@
 }
 
 // Callers returns the addresses of the nodes' listeners for outside callers.
-func (b *Bed) Callers() []string {
+func (b *Deployment) CallerAddresses() []string {
 	var all []string
 	for _, p := range b.Places {
 		all = append(all, p.Callers)
@@ -203,7 +203,7 @@
 
 // Apply applies a configuration with the command lovagelane apply and returns its output. The command returns when the
 // configuration is in force on every node.
-func (b *Bed) Apply(ctx context.Context, inventory, rules string) (string, error) {
+func (b *Deployment) Apply(ctx context.Context, inventory, rules string) (string, error) {
 	dir := filepath.Join(b.dir, "configuration")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", Error.Wrap(err)
@@ -222,15 +222,15 @@
 }
 
 // Up waits until the backend servers are healthy and the nodes respond. It does not require a configuration in force.
-func (b *Bed) Up(ctx context.Context) error {
+func (b *Deployment) WaitHealthy(ctx context.Context) error {
 	for _, p := range b.Places {
-		if err := Until(ctx, "backend server of "+p.Service, p.checkHealthy); err != nil {
+		if err := PollUntil(ctx, "backend server of "+p.Service, p.checkHealthy); err != nil {
 			return err
 		}
 		if p.Node == nil {
 			continue
 		}
-		err := Until(ctx, "node of "+p.Service, func(ctx context.Context) error {
+		err := PollUntil(ctx, "node of "+p.Service, func(ctx context.Context) error {
 			_, err := p.Status(ctx)
 			return err
 		})
@@ -242,9 +242,9 @@
 }
 
 // Ready waits until on each node the configuration version is in force and all other nodes are listed as serving.
-func (b *Bed) Ready(ctx context.Context, version uint64) error {
+func (b *Deployment) WaitReady(ctx context.Context, version uint64) error {
 	for _, p := range b.Places {
-		err := Until(ctx, "node of "+p.Service, func(ctx context.Context) error {
+		err := PollUntil(ctx, "node of "+p.Service, func(ctx context.Context) error {
 			return p.checkReady(ctx, version, len(b.Places))
 		})
 		if err != nil {
@@ -304,19 +304,19 @@
 }
 
 // Ran returns the counts of the calls that the backend server has started.
-func (p *Place) Ran(ctx context.Context) (standin.Ran, error) {
-	var r standin.Ran
+func (p *Place) StartCounts(ctx context.Context) (standin.StartCounts, error) {
+	var r standin.StartCounts
 	err := exchangeJSON(ctx, "GET", "http://"+p.BackendAddress+"/standin/ran", nil, &r)
 	return r, err
 }
 
 // SetPlatformFaults sets injected faults of the platform.
-func (b *Bed) SetPlatformFaults(ctx context.Context, f standin.PlatformFaults) error {
+func (b *Deployment) SetPlatformFaults(ctx context.Context, f standin.PlatformFaults) error {
 	return exchangeJSON(ctx, "POST", b.Store+"/standin/faults", f, nil)
 }
 
 // PlatformCounts returns the numbers of reads and writes that the platform has executed.
-func (b *Bed) PlatformCounts(ctx context.Context) (standin.PlatformCounts, error) {
+func (b *Deployment) PlatformCounts(ctx context.Context) (standin.PlatformCounts, error) {
 	var c standin.PlatformCounts
 	err := exchangeJSON(ctx, "GET", b.Store+"/standin/counts", nil, &c)
 	return c, err
@@ -330,7 +330,7 @@
 }
 
 // Ended is the result of stopping a deployment.
-type Ended struct {
+type StopResult struct {
 	// Processes is the number of processes that were started.
 	Processes int
 	// Killed lists the processes that did not exit within stopTimeout, Failed those whose exit status is not 0.
@@ -341,11 +341,11 @@
 
 // Stop stops all processes and waits until they have exited. It stops the nodes first, then the backend servers, then
 // the platform; the processes of each kind stop concurrently.
-func (b *Bed) Stop() Ended {
+func (b *Deployment) Stop() StopResult {
 	b.mu.Lock()
 	procs := slices.Clone(b.procs)
 	b.mu.Unlock()
-	result := Ended{Processes: len(procs)}
+	result := StopResult{Processes: len(procs)}
 	var mu sync.Mutex
 	stop := func(batch []*Process) {
 		g := kernel.NewGroup(context.Background())
@@ -382,4 +382,4 @@
 }
 
 // Remove deletes the temporary directory; call it after Stop.
-func (b *Bed) Remove() error { return os.RemoveAll(b.dir) }
+func (b *Deployment) Remove() error { return os.RemoveAll(b.dir) }
--- a/testbed/config.go
+++ b/testbed/config.go
@@ -16,7 +16,7 @@
 	Timeout            time.Duration
 	Calls              []string
 	// Backend holds additional flags of the stand-in backend servers, such as --service-time=10ms.
-	Backend []string
+	BackendFlags []string
 }
 
 // Region returns the region of an availability zone: the part of its name before the last dash.
--- a/testbed/http.go
+++ b/testbed/http.go
@@ -58,7 +58,7 @@
 }
 
 // Until polls f until it returns nil. It returns the last error of f if ctx is done first or a process has exited.
-func Until(ctx context.Context, what string, f func(context.Context) error) error {
+func PollUntil(ctx context.Context, what string, f func(context.Context) error) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	var lastErr error
--- a/ticket/attempts.go
+++ b/ticket/attempts.go
@@ -100,7 +100,7 @@
 
 // Receive records an attempt and decides on it: Run at its first arrival, Join or Kept at a later arrival while its record
 // exists, and Refuse otherwise.
-func (t *Attempts) Receive(now time.Time, a call.Attempt) Verdict {
+func (t *Attempts) Receive(now time.Time, a call.Attempt) Decision {
 	s, r, decision := t.lookUp(now, a)
 	switch {
 	case decision != nil:
@@ -111,20 +111,20 @@
 	case r.endedElement == nil:
 		return Join{}
 	default:
-		return Kept{Answer: r.stored.answer}
+		return Replay{Answer: r.stored.answer}
 	}
 }
 
 // Arrive records an attempt and returns the reason for refusing it, or ReasonNone when it may run. The outcome of an attempt
 // refused with ReasonAttemptRepeated or ReasonOtherIncarnation is unknown; any other refused attempt did not run and never
 // will.
-func (t *Attempts) Arrive(now time.Time, a call.Attempt) call.Reason {
+func (t *Attempts) Admit(now time.Time, a call.Attempt) call.Reason {
 	switch v := t.Receive(now, a).(type) {
 	case Run:
 		return call.ReasonNone
 	case Refuse:
 		return v.Reason
-	case Kept:
+	case Replay:
 		if v.Answer.Reason == call.ReasonFenced {
 			return call.ReasonFenced
 		}
@@ -163,7 +163,7 @@
 // lookUp returns the record of an attempt, or only the sender when the attempt has not arrived before and the table has
 // capacity for it. A "busy" refusal raises the watermark that applies to the attempt to its number: the refusal states "not
 // run", and a copy of the attempt may arrive when the table has capacity again.
-func (t *Attempts) lookUp(now time.Time, a call.Attempt) (*sender, *attempt, Verdict) {
+func (t *Attempts) lookUp(now time.Time, a call.Attempt) (*sender, *attempt, Decision) {
 	t.dropExpired(now)
 	if a.Receiver != t.receiver {
 		return nil, nil, Refuse{Reason: ReasonOtherIncarnation, Outcome: call.OutcomeUnknown}
--- a/ticket/attempts_test.go
+++ b/ticket/attempts_test.go
@@ -20,7 +20,7 @@
 	return call.Attempt{Sender: sender, Receiver: "here", Seq: seq}
 }
 
-func refusal(reason call.Reason, outcome call.Outcome) ticket.Verdict {
+func refusal(reason call.Reason, outcome call.Outcome) ticket.Decision {
 	return ticket.Refuse{Reason: reason, Outcome: outcome}
 }
 
@@ -30,17 +30,17 @@
 	table := ticket.NewAttempts("here")
 	require.Equal(t, ticket.Run{}, table.Receive(start, attemptFrom("a", 5)))
 	require.Equal(t, ticket.Join{}, table.Receive(start, attemptFrom("a", 5)))
-	require.Equal(t, ticket.ReasonAttemptRepeated, table.Arrive(start, attemptFrom("a", 5)))
+	require.Equal(t, ticket.ReasonAttemptRepeated, table.Admit(start, attemptFrom("a", 5)))
 	require.Equal(t, ticket.State{Running: true}, table.Fence(start, attemptFrom("a", 5)))
 
 	table.Finish(start, attemptFrom("a", 5), ranAnswer)
 	table.Finish(start, attemptFrom("a", 5), ticket.Answer{Outcome: call.OutcomeNotRun})
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, table.Receive(start, attemptFrom("a", 5)))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, table.Receive(start, attemptFrom("a", 5)))
 	require.Equal(t, ticket.State{Outcome: call.OutcomeRan, Answer: ranAnswer}, table.Fence(start, attemptFrom("a", 5)))
 
 	require.Equal(t, call.OutcomeNotRun, table.Fence(start, attemptFrom("a", 3)).Outcome)
-	require.Equal(t, call.ReasonFenced, table.Arrive(start, attemptFrom("a", 3)))
-	require.Equal(t, call.ReasonNone, table.Arrive(start, attemptFrom("b", 5)), "each sender has its own numbers")
+	require.Equal(t, call.ReasonFenced, table.Admit(start, attemptFrom("a", 3)))
+	require.Equal(t, call.ReasonNone, table.Admit(start, attemptFrom("b", 5)), "each sender has its own numbers")
 
 	elsewhere := call.Attempt{Sender: "a", Receiver: "before", Seq: 9}
 	require.Equal(t, refusal(ticket.ReasonOtherIncarnation, call.OutcomeUnknown), table.Receive(start, elsewhere))
@@ -56,7 +56,7 @@
 	table.Receive(start, attemptFrom("a", 5))
 	table.Finish(start, attemptFrom("a", 5), ranAnswer)
 	kept := start.Add(ticket.Retention - 1)
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, table.Receive(kept, attemptFrom("a", 5)))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, table.Receive(kept, attemptFrom("a", 5)))
 	later := start.Add(ticket.Retention)
 	unknown := refusal(ticket.ReasonAttemptRepeated, call.OutcomeUnknown)
 	for _, now := range []time.Time{later, start} { // The clock then jumps back.
--- a/ticket/export_test.go
+++ b/ticket/export_test.go
@@ -6,7 +6,7 @@
 }
 
 // SetCapacity lowers the bound so that tests can fill a table with few entries.
-func (o *Owner) SetCapacity(tickets int) { o.maxTickets = tickets }
+func (o *OwnerTable) SetCapacity(tickets int) { o.maxTickets = tickets }
 
 // Sign signs any payload, as another version of this code with the same key could do.
 func (i *Issuer) Sign(payload []byte) string { return i.sign(payload) }
--- a/ticket/model_test.go
+++ b/ticket/model_test.go
@@ -36,7 +36,7 @@
 	token   string
 	digest  uint64
 	seq     uint64
-	account retry.Account
+	account retry.Budget
 	attempt call.Attempt
 	server  int
 	share   int
@@ -63,7 +63,7 @@
 	incarnation int
 	ownerID     string
 	issuer      *ticket.Issuer
-	owner       *ticket.Owner
+	owner       *ticket.OwnerTable
 	sequence    *ticket.Sequence
 	runs        []*run
 	ownerClock  time.Time
@@ -88,7 +88,7 @@
 	m.incarnation++
 	m.ownerID = fmt.Sprintf("owner-%d", m.incarnation)
 	m.issuer = ticket.NewIssuer([]byte("key"), m.ownerID, "10.0.0.1:1", m.ownerClock)
-	m.owner = ticket.NewOwner(m.ownerID, m.ownerClock)
+	m.owner = ticket.NewOwnerTable(m.ownerID, m.ownerClock)
 	m.owner.SetCapacity(3)
 	m.sequence = ticket.NewSequence(time.Unix(int64(m.incarnation), 0))
 	m.runs = nil
@@ -119,7 +119,7 @@
 	require.NoError(m.t, err)
 	decide := m.owner.Begin
 	if msg.afterJoin {
-		decide = m.owner.Again
+		decide = m.owner.DecideAfterJoin
 	}
 	switch v := decide(m.ownerClock, tkt, "payments", msg.digest).(type) {
 	case ticket.Join:
@@ -133,10 +133,10 @@
 			m.digests[msg.token] = msg.digest
 		}
 		m.answeredNotRun[msg.token] = false
-		r := &run{token: msg.token, digest: msg.digest, seq: tkt.Seq, account: retry.NewAccount(v.Allowance)}
+		r := &run{token: msg.token, digest: msg.digest, seq: tkt.Seq, account: retry.NewBudget(v.Allowance)}
 		m.runs = append(m.runs, r)
 		m.startAttempt(r)
-	case ticket.Kept:
+	case ticket.Replay:
 		require.Equal(m.t, m.digests[msg.token], msg.digest, "the request got the answer of another request")
 	case ticket.Refuse:
 		if v.Outcome == call.OutcomeNotRun && v.Reason != call.ReasonTicketInvalid {
@@ -157,7 +157,7 @@
 			continue
 		}
 		r.account.Return(r.share, msg.unused)
-		if msg.state.Outcome == call.OutcomeNotRun && r.account.Take() {
+		if msg.state.Outcome == call.OutcomeNotRun && r.account.Withdraw() {
 			m.retries[r.token]++
 			m.startAttempt(r)
 			return
@@ -170,7 +170,7 @@
 func (m *model) finish(i int, outcome call.Outcome) {
 	r := m.runs[i]
 	m.runs = append(m.runs[:i], m.runs[i+1:]...)
-	m.owner.Finish(m.ownerClock, r.seq, ticket.Answer{Outcome: outcome}, r.account.Left())
+	m.owner.Finish(m.ownerClock, r.seq, ticket.Answer{Outcome: outcome}, r.account.Remaining())
 	if outcome == call.OutcomeNotRun {
 		m.recordNotRunAnswer(r.token)
 	}
@@ -189,7 +189,7 @@
 			return
 		case ticket.Join:
 			return
-		case ticket.Kept:
+		case ticket.Replay:
 			state = ticket.State{Outcome: v.Answer.Outcome}
 		case ticket.Refuse:
 			state = ticket.State{Outcome: v.Outcome}
@@ -330,7 +330,7 @@
 				m.injectFault()
 			}
 			for token, n := range m.retries {
-				require.LessOrEqual(t, n, retry.RequestBound, "retries of %s", token)
+				require.LessOrEqual(t, n, retry.MaxRetriesPerRequest, "retries of %s", token)
 			}
 		}
 	}
