--- a/ticket/owner.go
+++ b/ticket/owner.go
@@ -28,7 +28,7 @@
 }
 
 // Verdict is the decision on a ticketed request or on an attempt: Run, Join, Kept or Refuse.
-type Verdict interface{ decision() }
+type Decision interface{ decision() }
 
 // Run means that the request starts now and may use Allowance retries.
 type Run struct{ Allowance int }
@@ -37,7 +37,7 @@
 type Join struct{}
 
 // Kept means that the request has ended and holds its stored answer, whose body must not be modified.
-type Kept struct{ Answer Answer }
+type Replay struct{ Answer Answer }
 
 // Refuse means that the request is not started.
 type Refuse struct {
@@ -47,7 +47,7 @@
 
 func (Run) decision()    {}
 func (Join) decision()   {}
-func (Kept) decision()   {}
+func (Replay) decision() {}
 func (Refuse) decision() {}
 
 // phase is the progress of a request with a used ticket.
@@ -73,7 +73,7 @@
 }
 
 // Owner is the table of requests by ticket on the node that issued the tickets. The caller serializes access to it.
-type Owner struct {
+type OwnerTable struct {
 	id    string
 	start time.Time
 	// maxTickets is MaxTickets; tests of a full table set a lower bound.
@@ -87,21 +87,21 @@
 }
 
 // NewOwner returns an empty table for the incarnation with the member id owner. The start time must equal that of NewIssuer.
-func NewOwner(owner string, start time.Time) *Owner {
-	return &Owner{id: owner, start: start, maxTickets: MaxTickets, requests: map[uint64]*request{}, lastPruned: start}
+func NewOwnerTable(owner string, start time.Time) *OwnerTable {
+	return &OwnerTable{id: owner, start: start, maxTickets: MaxTickets, requests: map[uint64]*request{}, lastPruned: start}
 }
 
 // Begin decides on a request that arrived with a ticket. Each request after the first one for a ticket counts as a resend.
-func (o *Owner) Begin(now time.Time, t Ticket, service string, digest uint64) Verdict {
+func (o *OwnerTable) Begin(now time.Time, t Ticket, service string, digest uint64) Decision {
 	return o.decide(now, t, service, digest, 1)
 }
 
 // Again decides on a request for which the decision was Join, after that run has ended. It does not count a resend.
-func (o *Owner) Again(now time.Time, t Ticket, service string, digest uint64) Verdict {
+func (o *OwnerTable) DecideAfterJoin(now time.Time, t Ticket, service string, digest uint64) Decision {
 	return o.decide(now, t, service, digest, 0)
 }
 
-func (o *Owner) decide(now time.Time, t Ticket, service string, digest uint64, resends int) Verdict {
+func (o *OwnerTable) decide(now time.Time, t Ticket, service string, digest uint64, resends int) Decision {
 	o.prune(now)
 	if t.Owner != o.id {
 		return Refuse{Reason: call.ReasonOwnerGone, Outcome: call.OutcomeUnknown}
@@ -124,7 +124,7 @@
 	case running:
 		return Join{}
 	case completed:
-		return Kept{Answer: r.stored.answer}
+		return Replay{Answer: r.stored.answer}
 	default:
 		return r.rerun()
 	}
@@ -132,29 +132,29 @@
 
 // startFirst starts the request of a ticket that was not used before. A full table refuses it, because a ticket that is
 // dropped before it expires could run twice.
-func (o *Owner) startFirst(t Ticket, digest uint64) Verdict {
+func (o *OwnerTable) startFirst(t Ticket, digest uint64) Decision {
 	if len(o.requests) >= o.maxTickets {
 		return Refuse{Reason: call.ReasonBusy, Outcome: call.OutcomeNotRun}
 	}
-	o.requests[t.Seq] = &request{issuedMS: t.IssuedMS, digest: digest, allowance: retry.Bound}
-	return Run{Allowance: retry.Bound}
+	o.requests[t.Seq] = &request{issuedMS: t.IssuedMS, digest: digest, allowance: retry.MaxRetriesPerSend}
+	return Run{Allowance: retry.MaxRetriesPerSend}
 }
 
 // rerun starts a request again whose earlier runs all ended "not run". Every resend counts, also one that joined a run.
-func (r *request) rerun() Verdict {
-	budget, ok := retry.ForResend(r.resends)
+func (r *request) rerun() Decision {
+	budget, ok := retry.BudgetForResend(r.resends)
 	if !ok || r.reruns >= r.resends {
 		return Refuse{Reason: call.ReasonRetriesSpent, Outcome: call.OutcomeNotRun}
 	}
 	r.reruns++
-	r.allowance = min(retry.Bound, r.unusedRetries+budget.Left())
+	r.allowance = min(retry.MaxRetriesPerSend, r.unusedRetries+budget.Remaining())
 	r.phase = running
 	return Run{Allowance: r.allowance}
 }
 
 // Finish records the end of a run, once for each Run decision. After a "not run" end, a resend with the same ticket may run
 // the request again and use the unused retries of this run; any other end is final.
-func (o *Owner) Finish(now time.Time, seq uint64, a Answer, unused int) {
+func (o *OwnerTable) Finish(now time.Time, seq uint64, a Answer, unused int) {
 	r, ok := o.requests[seq]
 	if !ok || r.phase != running {
 		return
@@ -170,14 +170,14 @@
 }
 
 // Len returns the number of used tickets in the table.
-func (o *Owner) Len() int { return len(o.requests) }
+func (o *OwnerTable) Len() int { return len(o.requests) }
 
-func (o *Owner) expired(now time.Time, issuedMS uint64) bool {
+func (o *OwnerTable) expired(now time.Time, issuedMS uint64) bool {
 	return sinceMS(o.start, now) >= issuedMS+uint64(Lifetime.Milliseconds())
 }
 
 // prune removes expired tickets, except those whose request is still running.
-func (o *Owner) prune(now time.Time) {
+func (o *OwnerTable) prune(now time.Time) {
 	if age := now.Sub(o.lastPruned); age >= 0 && age < pruneInterval {
 		return
 	}
--- a/ticket/owner_test.go
+++ b/ticket/owner_test.go
@@ -16,11 +16,11 @@
 type ownerNode struct {
 	t require.TestingT
 	*ticket.Issuer
-	*ticket.Owner
+	*ticket.OwnerTable
 }
 
 func newOwnerNode(t require.TestingT) ownerNode {
-	return ownerNode{t, ticket.NewIssuer([]byte("key"), "here", "10.0.0.1:1", start), ticket.NewOwner("here", start)}
+	return ownerNode{t, ticket.NewIssuer([]byte("key"), "here", "10.0.0.1:1", start), ticket.NewOwnerTable("here", start)}
 }
 
 func (o ownerNode) ticket(now time.Time) ticket.Ticket {
@@ -29,7 +29,7 @@
 	return got
 }
 
-func (o ownerNode) begin(now time.Time, t ticket.Ticket) ticket.Verdict {
+func (o ownerNode) begin(now time.Time, t ticket.Ticket) ticket.Decision {
 	return o.Begin(now, t, "payments", 1)
 }
 
@@ -44,22 +44,22 @@
 	tkt := o.ticket(start)
 	invalid := refusal(call.ReasonTicketInvalid, call.OutcomeNotRun)
 	require.Equal(t, invalid, o.Begin(start, tkt, "nursery", 1))
-	require.Equal(t, ticket.Run{Allowance: retry.Bound}, o.begin(start, tkt))
+	require.Equal(t, ticket.Run{Allowance: retry.MaxRetriesPerSend}, o.begin(start, tkt))
 	require.Equal(t, ticket.Join{}, o.begin(start, tkt))
 	require.Equal(t, invalid, o.Begin(start, tkt, "payments", 2))
 
 	o.Finish(start, tkt.Seq, ranAnswer, 2)
 	o.Finish(start, tkt.Seq, notRunAnswer, 2)
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, o.begin(start, tkt))
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, o.Again(start, tkt, "payments", 1))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, o.begin(start, tkt))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, o.DecideAfterJoin(start, tkt, "payments", 1))
 	require.Equal(t, invalid, o.Begin(start, tkt, "payments", 2))
 
 	unknown := o.ticket(start)
 	o.begin(start, unknown)
 	o.Finish(start, unknown.Seq, ticket.Answer{Outcome: call.OutcomeUnknown}, 3)
-	require.IsType(t, ticket.Kept{}, o.begin(start, unknown), "an unknown outcome is final")
+	require.IsType(t, ticket.Replay{}, o.begin(start, unknown), "an unknown outcome is final")
 
-	other := ticket.NewOwner("restarted", start)
+	other := ticket.NewOwnerTable("restarted", start)
 	require.Equal(t, refusal(call.ReasonOwnerGone, call.OutcomeUnknown), other.Begin(start, tkt, "payments", 1))
 }
 
@@ -70,7 +70,7 @@
 	o.begin(start, used)
 	o.Finish(start, used.Seq, ranAnswer, 0)
 	o.begin(start, long)
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, o.begin(start.Add(ticket.Lifetime-1), used))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, o.begin(start.Add(ticket.Lifetime-1), used))
 
 	require.Equal(t, expiredRefusal, o.begin(start.Add(ticket.Lifetime), used))
 	end := start.Add(ticket.Lifetime + time.Second)
@@ -98,9 +98,9 @@
 	require.Equal(t, refusal(call.ReasonBusy, call.OutcomeNotRun), o.begin(start, o.ticket(start)))
 	require.Equal(t, ticket.MaxTickets, o.Len())
 	o.Finish(start, first.Seq, ranAnswer, 0)
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, o.begin(start, first))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, o.begin(start, first))
 	end := start.Add(ticket.Lifetime)
-	require.Equal(t, ticket.Run{Allowance: retry.Bound}, o.begin(end, o.ticket(end)))
+	require.Equal(t, ticket.Run{Allowance: retry.MaxRetriesPerSend}, o.begin(end, o.ticket(end)))
 }
 
 // Guards against resends that add retries beyond the bound, and against resends that are not counted because they joined a
@@ -126,16 +126,16 @@
 		require.Equal(t, ticket.Join{}, o.begin(start, joined))
 	}
 	end(joined, 3)
-	require.Equal(t, spent, o.Again(start, joined, "payments", 1))
+	require.Equal(t, spent, o.DecideAfterJoin(start, joined, "payments", 1))
 
 	waited := o.ticket(start)
 	o.begin(start, waited)
 	end(waited, 3)
-	require.Equal(t, spent, o.Again(start, waited, "payments", 1), "the request was not resent")
+	require.Equal(t, spent, o.DecideAfterJoin(start, waited, "payments", 1), "the request was not resent")
 	o.begin(start, waited)
 	o.begin(start, waited)
 	end(waited, 0)
-	require.Equal(t, ticket.Run{}, o.Again(start, waited, "payments", 1), "the second resend has no retry of its own")
+	require.Equal(t, ticket.Run{}, o.DecideAfterJoin(start, waited, "payments", 1), "the second resend has no retry of its own")
 }
 
 // Guards against an order of sends and ends in which the retries of a request exceed the bound.
@@ -159,6 +159,6 @@
 			retries, given = retries+used, given-used
 			o.Finish(start, tkt.Seq, notRunAnswer, given)
 		}
-		require.LessOrEqual(t, retries, retry.RequestBound)
+		require.LessOrEqual(t, retries, retry.MaxRetriesPerRequest)
 	})
 }
--- a/ticket/size_test.go
+++ b/ticket/size_test.go
@@ -42,7 +42,7 @@
 	now := time.Unix(1_000_000, 0)
 	for b.Loop() {
 		before := heapBytes()
-		o := ticket.NewOwner("owner", now)
+		o := ticket.NewOwnerTable("owner", now)
 		for i := range entryCount {
 			o.Begin(now, ticket.Ticket{Owner: "owner", Seq: uint64(i + 1), Service: "maps"}, "maps", uint64(i))
 			o.Finish(now, uint64(i+1), ticket.Answer{Status: 200, Outcome: call.OutcomeRan}, 0)
