--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -404,7 +404,7 @@
 }
 
 // Guards against a wrong merge if a node does not answer, returns a malformed answer, or answers at two addresses.
-func TestGather(t *testing.T) {
+func TestMergeAnswers(t *testing.T) {
 	_, recorder := exampleReport()
 	s := recorder.Snapshot()
 	got := MergeAnswers([]NodeAnswer{
--- a/cmd/bench/bench.go
+++ b/cmd/bench/bench.go
@@ -85,7 +85,7 @@
 // deploy runs f on a new deployment and then stops the deployment. If a deployment does not become ready, deploy reports
 // it and starts a new one, since the benchmarks do not measure the start.
 func (b *bench) deploy(ctx context.Context, v variant, services []testbed.Service, rules string,
-	f func(ctx context.Context, bed *testbed.Deployment) error) error {
+	f func(ctx context.Context, deployment *testbed.Deployment) error) error {
 	for try := 1; ; try++ {
 		err := b.deployOnce(ctx, v, services, rules, f)
 		var notReady notReadyError
@@ -97,38 +97,38 @@
 }
 
 func (b *bench) deployOnce(ctx context.Context, v variant, services []testbed.Service, rules string,
-	f func(ctx context.Context, bed *testbed.Deployment) error) (err error) {
-	bed, err := testbed.New(ctx, testbed.Options{Bin: b.bin, NodeSettings: v.settings})
+	f func(ctx context.Context, deployment *testbed.Deployment) error) (err error) {
+	deployment, err := testbed.New(ctx, testbed.Options{Bin: b.bin, NodeSettings: v.settings})
 	if err != nil {
 		return err
 	}
 	defer func() {
-		ended := bed.Stop()
-		if len(ended.Killed)+len(ended.Failed)+len(ended.Running) > 0 {
-			fmt.Printf("%s: processes that did not stop by themselves: killed %v, failed %v, running %v\n", v.name, ended.Killed,
-				ended.Failed, ended.Running)
+		result := deployment.Stop()
+		if len(result.Killed)+len(result.Failed)+len(result.Running) > 0 {
+			fmt.Printf("%s: processes that did not stop by themselves: killed %v, failed %v, running %v\n", v.name, result.Killed,
+				result.Failed, result.Running)
 		}
 		if err == nil {
-			_ = bed.Remove()
+			_ = deployment.Remove()
 		} else {
-			err = fmt.Errorf("%w (logs are in %s)", err, bed.Dir())
+			err = fmt.Errorf("%w (logs are in %s)", err, deployment.Dir())
 		}
 	}()
-	if err := bed.Add(services...); err != nil {
+	if err := deployment.Add(services...); err != nil {
 		return err
 	}
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := bed.WaitHealthy(readyCtx); err != nil {
+	if err := deployment.WaitHealthy(readyCtx); err != nil {
 		return notReadyError{err}
 	}
-	if _, err := bed.Apply(readyCtx, testbed.Inventory(services), rules); err != nil {
+	if _, err := deployment.Apply(readyCtx, testbed.Inventory(services), rules); err != nil {
 		return notReadyError{err}
 	}
-	if err := bed.WaitReady(readyCtx, 1); err != nil {
+	if err := deployment.WaitReady(readyCtx, 1); err != nil {
 		return notReadyError{err}
 	}
-	return f(ctx, bed)
+	return f(ctx, deployment)
 }
 
 // load sends requests to the addresses. It returns all results, and those of the requests that arrived in the window.
--- a/cmd/bench/calls.go
+++ b/cmd/bench/calls.go
@@ -27,8 +27,8 @@
 			BackendFlags: []string{"--service-time=2ms", "--fixed"}},
 	}
 	rates := []float64{0, 50, 100, 200, 400}
-	return b.deploy(ctx, product, services, plainRules, func(ctx context.Context, bed *testbed.Deployment) error {
-		places := []*testbed.Place{bed.PlacesOf("front")[0], bed.PlacesOf("echo")[0]}
+	return b.deploy(ctx, product, services, plainRules, func(ctx context.Context, deployment *testbed.Deployment) error {
+		places := []*testbed.Place{deployment.PlacesOf("front")[0], deployment.PlacesOf("echo")[0]}
 		used := [2][]float64{}
 		fmt.Println("| calls a second | calling node, ms a second | memory MB | serving node, ms a second | memory MB |")
 		fmt.Println("|---|---|---|---|---|")
--- a/cmd/bench/chain.go
+++ b/cmd/bench/chain.go
@@ -81,8 +81,8 @@
 	for _, factor := range []float64{2, 5} {
 		goodput, ordersShare := map[string]float64{}, map[string]float64{}
 		for _, v := range []variant{product, fixedLimit, noControl} {
-			err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Deployment) error {
-				_, r, err := b.load(ctx, callerAddresses(bed.PlacesOf("nursery")), chainKinds(0, 0),
+			err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, deployment *testbed.Deployment) error {
+				_, r, err := b.load(ctx, callerAddresses(deployment.PlacesOf("nursery")), chainKinds(0, 0),
 					standin.Constant(factor*chainCapacity), window)
 				if err != nil {
 					return err
@@ -115,8 +115,8 @@
 		{From: surge, Rate: 0.7 * chainCapacity}}}
 	recoverySecs, shareBefore := map[string]float64{}, map[string]float64{}
 	for _, v := range []variant{product, fixedLimit, noControl} {
-		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Deployment) error {
-			all, _, err := b.load(ctx, callerAddresses(bed.PlacesOf("nursery")), chainKinds(3, callerTimeout/3), profile, window)
+		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, deployment *testbed.Deployment) error {
+			all, _, err := b.load(ctx, callerAddresses(deployment.PlacesOf("nursery")), chainKinds(3, callerTimeout/3), profile, window)
 			if err != nil {
 				return err
 			}
@@ -163,8 +163,8 @@
 	window := span{0, period/2 + swings*period}
 	riseTime, lowestGoodput, ordersShare := map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, v := range []variant{product, fixedLimit, noControl} {
-		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, bed *testbed.Deployment) error {
-			all, _, err := b.load(ctx, callerAddresses(bed.PlacesOf("nursery")), chainKinds(0, 0), profile, window)
+		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, deployment *testbed.Deployment) error {
+			all, _, err := b.load(ctx, callerAddresses(deployment.PlacesOf("nursery")), chainKinds(0, 0), profile, window)
 			if err != nil {
 				return err
 			}
--- a/cmd/bench/control.go
+++ b/cmd/bench/control.go
@@ -48,7 +48,7 @@
 
 // controlRun holds the state and results of the measurement of one deployment.
 type controlRun struct {
-	bed        *testbed.Deployment
+	deployment *testbed.Deployment
 	nodes      []*testbed.Place
 	extra      *testbed.Place
 	configText func(version int) (inventory, rules string)
@@ -107,38 +107,38 @@
 }
 
 func (b *bench) measureControl(ctx context.Context, size int, events bool) (rows []controlRow, err error) {
-	bed, err := testbed.New(ctx, testbed.Options{Bin: b.bin, SharedBackends: true})
+	deployment, err := testbed.New(ctx, testbed.Options{Bin: b.bin, SharedBackends: true})
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
-		bed.Stop()
+		deployment.Stop()
 		if err == nil {
-			_ = bed.Remove()
+			_ = deployment.Remove()
 		} else {
-			err = fmt.Errorf("%w (logs are in %s)", err, bed.Dir())
+			err = fmt.Errorf("%w (logs are in %s)", err, deployment.Dir())
 		}
 	}()
 	services := controlServices(size)
 	extra := testbed.Service{Name: "extra", Zones: controlZones[:1], Slots: 16, Connections: 2000, Timeout: time.Second}
 	inventory := testbed.Inventory(append(slices.Clone(services), extra))
-	r := &controlRun{bed: bed, configText: func(version int) (string, string) {
+	r := &controlRun{deployment: deployment, configText: func(version int) (string, string) {
 		return inventory, fmt.Sprintf("[class ordinary]\nrank = %d\ndefault = yes\n", 1+version%7)
 	}}
 	started := time.Now()
-	if err := bed.Add(services...); err != nil {
+	if err := deployment.Add(services...); err != nil {
 		return nil, err
 	}
-	r.nodes = slices.Clone(bed.Places)
+	r.nodes = slices.Clone(deployment.Places)
 	readyCtx, cancel := context.WithTimeout(ctx, controlReadyTimeout)
 	defer cancel()
-	if err := bed.WaitHealthy(readyCtx); err != nil {
+	if err := deployment.WaitHealthy(readyCtx); err != nil {
 		return nil, err
 	}
 	if err := r.apply(readyCtx); err != nil {
 		return nil, err
 	}
-	if err := bed.WaitReady(readyCtx, 1); err != nil {
+	if err := deployment.WaitReady(readyCtx, 1); err != nil {
 		return nil, err
 	}
 	fmt.Printf("- %d nodes: ready %.1f s after the start of the first; load average %s\n", size,
@@ -226,7 +226,7 @@
 func (r *controlRun) apply(ctx context.Context) error {
 	r.version++
 	inventory, rules := r.configText(r.version)
-	_, err := r.bed.Apply(ctx, inventory, rules)
+	_, err := r.deployment.Apply(ctx, inventory, rules)
 	return err
 }
 
@@ -238,7 +238,7 @@
 	}
 	var last time.Time
 	for _, p := range r.nodes {
-		at, err := findInForceTime(filepath.Join(r.bed.Dir(), p.Node.Name+".log"), r.version)
+		at, err := findInForceTime(filepath.Join(r.deployment.Dir(), p.Node.Name+".log"), r.version)
 		if err != nil {
 			return 0, err
 		}
@@ -269,10 +269,10 @@
 
 // startExtraNode starts an additional node. It does not poll the nodes, since polls would add to their processor time.
 func (r *controlRun) startExtraNode(_ context.Context, extra testbed.Service) (float64, error) {
-	if err := r.bed.Add(extra); err != nil {
+	if err := r.deployment.Add(extra); err != nil {
 		return 0, err
 	}
-	r.extra = r.bed.Places[len(r.bed.Places)-1]
+	r.extra = r.deployment.Places[len(r.deployment.Places)-1]
 	return 0, nil
 }
 
@@ -338,7 +338,7 @@
 	if err != nil {
 		return err
 	}
-	counts, err := r.bed.PlatformCounts(ctx)
+	counts, err := r.deployment.PlatformCounts(ctx)
 	if err != nil {
 		return err
 	}
@@ -364,7 +364,7 @@
 	if err != nil {
 		return err
 	}
-	after, err := r.bed.PlatformCounts(ctx)
+	after, err := r.deployment.PlatformCounts(ctx)
 	fmt.Printf("- %d nodes, %d of them start at once: the store saw %d reads and %d writes until all were known\n", len(allNodes),
 		len(lost), after.Reads-counts.Reads, after.Writes-counts.Writes)
 	return err
@@ -433,7 +433,7 @@
 
 func (r *controlRun) usage(ctx context.Context) (usage, error) {
 	u := usage{at: time.Now()}
-	counts, err := r.bed.PlatformCounts(ctx)
+	counts, err := r.deployment.PlatformCounts(ctx)
 	if err != nil {
 		return u, err
 	}
--- a/cmd/bench/overhead.go
+++ b/cmd/bench/overhead.go
@@ -23,19 +23,19 @@
 		{Name: "echo", Zones: []string{"rn-1"}, Slots: 64, Connections: 400, Timeout: time.Second,
 			BackendFlags: []string{"--service-time=2ms", "--fixed"}},
 	}
-	return b.deploy(ctx, product, services, plainRules, func(ctx context.Context, bed *testbed.Deployment) error {
+	return b.deploy(ctx, product, services, plainRules, func(ctx context.Context, deployment *testbed.Deployment) error {
 		window := span{3 * time.Second, 40 * time.Second}
 		rate := standin.Constant(overheadRate)
 		var direct, through *standin.Results
 		g := kernel.NewGroup(ctx)
 		g.Go("direct", func(ctx context.Context) (err error) {
 			kinds := []standin.Kind{{Name: "call", Method: "GET", Path: "/page", Weight: 1}}
-			_, direct, err = b.load(ctx, []string{bed.PlacesOf("echo")[0].BackendAddress}, kinds, rate, window)
+			_, direct, err = b.load(ctx, []string{deployment.PlacesOf("echo")[0].BackendAddress}, kinds, rate, window)
 			return err
 		})
 		g.Go("through", func(ctx context.Context) (err error) {
 			kinds := []standin.Kind{{Name: "call", Method: "GET", Path: "/echo/page", Weight: 1}}
-			_, through, err = b.load(ctx, callerAddresses(bed.PlacesOf("front")), kinds, rate, window)
+			_, through, err = b.load(ctx, callerAddresses(deployment.PlacesOf("front")), kinds, rate, window)
 			return err
 		})
 		if err := g.Wait(); err != nil {
--- a/cmd/bench/tail.go
+++ b/cmd/bench/tail.go
@@ -32,14 +32,14 @@
 
 // tailP99 returns the p99 latency in ms of the calls of one deployment. It calls prepare before the load starts.
 func (b *bench) tailP99(ctx context.Context, v variant, name string, services []testbed.Service,
-	prepare func(ctx context.Context, bed *testbed.Deployment) error) (p99 float64, err error) {
+	prepare func(ctx context.Context, deployment *testbed.Deployment) error) (p99 float64, err error) {
 	rate := tailLoadShare * tailPlaces * tailSlots * float64(time.Second) / float64(tailServiceTime)
 	kinds := []standin.Kind{{Name: "call", Method: "GET", Path: "/maps/page", Weight: 1, Timeout: 2 * time.Second}}
-	err = b.deploy(ctx, v, services, plainRules, func(ctx context.Context, bed *testbed.Deployment) error {
-		if err := prepare(ctx, bed); err != nil {
+	err = b.deploy(ctx, v, services, plainRules, func(ctx context.Context, deployment *testbed.Deployment) error {
+		if err := prepare(ctx, deployment); err != nil {
 			return err
 		}
-		_, r, err := b.load(ctx, callerAddresses(bed.PlacesOf("front")), kinds, standin.Constant(rate),
+		_, r, err := b.load(ctx, callerAddresses(deployment.PlacesOf("front")), kinds, standin.Constant(rate),
 			span{4 * time.Second, 14 * time.Second})
 		if err != nil {
 			return err
@@ -72,8 +72,8 @@
 
 func runSlowed(ctx context.Context, b *bench) error {
 	factor := slowdownFactor
-	slow := func(ctx context.Context, bed *testbed.Deployment) error {
-		return bed.PlacesOf("maps")[0].SetFaults(ctx, standin.BackendFaults{SlowFactor: &factor})
+	slow := func(ctx context.Context, deployment *testbed.Deployment) error {
+		return deployment.PlacesOf("maps")[0].SetFaults(ctx, standin.BackendFaults{SlowFactor: &factor})
 	}
 	values := map[string][2]float64{}
 	for _, v := range []variant{product, roundRobin} {
--- a/cmd/demo/check.go
+++ b/cmd/demo/check.go
@@ -74,13 +74,13 @@
 func share(results *standin.Results, kind string) float64 { return results.Kind(kind).AnsweredShare() }
 
 // checkUsualLoad checks that orders were answered and that each one ran in three services.
-func (d *demo) checkUsualLoad(usual *standin.Results, ran map[string][]standin.StartCounts) {
+func (d *demo) checkUsualLoad(usual *standin.Results, starts map[string][]standin.StartCounts) {
 	orders := usual.Kind(kindOrders).Answered
 	d.check(orders > 0 && share(usual, kindOrders) >= minImportantShare, "orders are answered under the usual load",
 		percent(share(usual, kindOrders)))
 	chain := 0
 	for service, path := range map[string]string{"nursery": "/orders", "imagery": "/proofs", "payments": "/holds"} {
-		if countOrders(ran[service], path, "order-usual-") >= orders {
+		if countOrders(starts[service], path, "order-usual-") >= orders {
 			chain++
 		}
 	}
@@ -126,9 +126,9 @@
 }
 
 // checkNoOrderRanTwice checks that no order started more than once in a service, over all its backend servers.
-func (d *demo) checkNoOrderRanTwice(ran map[string][]standin.StartCounts) {
+func (d *demo) checkNoOrderRanTwice(starts map[string][]standin.StartCounts) {
 	orders, duplicates := 0, 0
-	for _, all := range ran {
+	for _, all := range starts {
 		counts := map[string]int{}
 		for _, r := range all {
 			for key, n := range r.Orders {
@@ -146,9 +146,9 @@
 }
 
 // checkRefusedNotRun checks that a request whose sends were all refused as "not run" did not run in any service.
-func (d *demo) checkRefusedNotRun(ran map[string][]standin.StartCounts, results ...*standin.Results) {
+func (d *demo) checkRefusedNotRun(starts map[string][]standin.StartCounts, results ...*standin.Results) {
 	pathsByRequest := map[string][]string{}
-	for _, all := range ran {
+	for _, all := range starts {
 		for _, r := range all {
 			for key := range r.Requests {
 				path, id, _ := strings.Cut(key, " ")
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -39,18 +39,18 @@
 	if err = d.start(ctx, testbed.Options{Bin: filepath.Dir(bin), NodeSettings: settings}); err == nil {
 		err = d.runPhases(ctx)
 	}
-	if d.bed == nil {
+	if d.deployment == nil {
 		return err
 	}
-	ended := d.bed.Stop()
-	d.checkProcessesStopped(ended)
+	result := d.deployment.Stop()
+	d.checkProcessesStopped(result)
 	d.printChecks()
 	if err == nil && d.hasFailedCheck() {
 		err = errors.New("a check failed")
 	}
 	if err != nil || keep {
-		fmt.Println("settings and logs are in", d.bed.Dir())
+		fmt.Println("settings and logs are in", d.deployment.Dir())
 		return err
 	}
-	return d.bed.Remove()
+	return d.deployment.Remove()
 }
--- a/cmd/demo/play.go
+++ b/cmd/demo/play.go
@@ -27,10 +27,10 @@
 
 // demo holds the state of one run.
 type demo struct {
-	seed    uint64
-	started time.Time
-	bed     *testbed.Deployment
-	checks  []check
+	seed       uint64
+	started    time.Time
+	deployment *testbed.Deployment
+	checks     []check
 }
 
 func (d *demo) logf(format string, args ...any) {
@@ -38,24 +38,24 @@
 }
 
 func (d *demo) start(ctx context.Context, opt testbed.Options) error {
-	bed, err := testbed.New(ctx, opt)
+	deployment, err := testbed.New(ctx, opt)
 	if err != nil {
 		return err
 	}
-	d.bed = bed
-	if err := bed.Add(services()...); err != nil {
+	d.deployment = deployment
+	if err := deployment.Add(services()...); err != nil {
 		return err
 	}
-	d.logf("started the platform, %d backend servers and %d nodes; seed %d", len(bed.Places), len(bed.Places), d.seed)
+	d.logf("started the platform, %d backend servers and %d nodes; seed %d", len(deployment.Places), len(deployment.Places), d.seed)
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := bed.WaitHealthy(readyCtx); err != nil {
+	if err := deployment.WaitHealthy(readyCtx); err != nil {
 		return err
 	}
-	if _, err := bed.Apply(readyCtx, testbed.Inventory(services()), rules); err != nil {
+	if _, err := deployment.Apply(readyCtx, testbed.Inventory(services()), rules); err != nil {
 		return err
 	}
-	if err := bed.WaitReady(readyCtx, 1); err != nil {
+	if err := deployment.WaitReady(readyCtx, 1); err != nil {
 		return err
 	}
 	d.logf("configuration 1 is in force on every node")
@@ -75,20 +75,20 @@
 	d.printTable("usual load", usual)
 	d.printTable("overload, weather in class background", before)
 	d.printTable("overload, weather in class lookups", after)
-	ran, err := d.collectRuns(ctx)
+	starts, err := d.collectStarts(ctx)
 	if err != nil {
 		return err
 	}
-	d.checkUsualLoad(usual, ran)
+	d.checkUsualLoad(usual, starts)
 	d.checkOverload(before, after)
-	d.checkNoOrderRanTwice(ran)
-	d.checkRefusedNotRun(ran, usual, all)
+	d.checkNoOrderRanTwice(starts)
+	d.checkRefusedNotRun(starts, usual, all)
 	return nil
 }
 
 func (d *demo) offerUsualLoad(ctx context.Context) (*standin.Results, error) {
 	mix, rate := loadMix(func(k kind) float64 { return k.usualRate })
-	c := &standin.Caller{Addresses: d.bed.CallerAddresses(), Kinds: mix, Profile: standin.Constant(rate), Duration: usualLoadDuration,
+	c := &standin.Caller{Addresses: d.deployment.CallerAddresses(), Kinds: mix, Profile: standin.Constant(rate), Duration: usualLoadDuration,
 		Seed: d.seed, Name: "usual"}
 	d.logf("offering the usual load, %.0f requests a second", rate)
 	return c.Run(ctx)
@@ -102,7 +102,7 @@
 		names = append(names, k.Name)
 	}
 	before, after = standin.NewResults(names), standin.NewResults(names)
-	c := &standin.Caller{Addresses: d.bed.CallerAddresses(), Kinds: mix, Profile: standin.Constant(rate), Duration: overloadDuration,
+	c := &standin.Caller{Addresses: d.deployment.CallerAddresses(), Kinds: mix, Profile: standin.Constant(rate), Duration: overloadDuration,
 		Seed: d.seed + 1, Name: "overload", Observe: func(r standin.Result) {
 			switch {
 			case r.Arrived >= overloadWarmUp && r.Arrived < configChangeAt:
@@ -131,10 +131,10 @@
 	start := time.Now()
 	timeoutCtx, cancel := context.WithTimeout(ctx, configChangeTimeout)
 	defer cancel()
-	if _, err := d.bed.Apply(timeoutCtx, testbed.Inventory(services()), rulesWithWeatherMoved()); err != nil {
+	if _, err := d.deployment.Apply(timeoutCtx, testbed.Inventory(services()), rulesWithWeatherMoved()); err != nil {
 		return err
 	}
-	err := d.bed.WaitReady(timeoutCtx, 2)
+	err := d.deployment.WaitReady(timeoutCtx, 2)
 	took := time.Since(start)
 	d.logf("configuration 2 is in force on every node after %s: weather moved to class lookups", took.Round(time.Millisecond))
 	d.check(err == nil, "a change is in force everywhere within 14 s", fmt.Sprintf("%s %v", took.Round(time.Millisecond), errText(err)))
@@ -148,10 +148,10 @@
 	return err.Error()
 }
 
-// collectRuns returns by service what the backend servers ran.
-func (d *demo) collectRuns(ctx context.Context) (map[string][]standin.StartCounts, error) {
+// collectStarts returns the start counts of the backend servers by service.
+func (d *demo) collectStarts(ctx context.Context) (map[string][]standin.StartCounts, error) {
 	all := map[string][]standin.StartCounts{}
-	for _, p := range d.bed.Places {
+	for _, p := range d.deployment.Places {
 		r, err := p.StartCounts(ctx)
 		if err != nil {
 			return nil, err
--- a/control/frame.go
+++ b/control/frame.go
@@ -22,9 +22,9 @@
 	maxListItems        = 4096
 
 	// membersPerFrame keeps a frame of announcements with fields of maximum length below maxFrameBytes.
-	membersPerFrame = 64
-	marksPerFrame   = 512
-	reportsPerFrame = 256
+	membersPerFrame    = 64
+	suspicionsPerFrame = 512
+	reportsPerFrame    = 256
 )
 
 type kind uint8
@@ -59,7 +59,7 @@
 		Members []membership.Member `cbor:"1,keyasint"`
 	}
 	suspect struct {
-		Marks []membership.Suspicion `cbor:"1,keyasint"`
+		Suspicions []membership.Suspicion `cbor:"1,keyasint"`
 	}
 	digest struct {
 		Buckets []uint64 `cbor:"1,keyasint"`
--- a/control/frame_test.go
+++ b/control/frame_test.go
@@ -34,13 +34,13 @@
 
 // Guards against frames that decode to other values than were encoded, and against full frames that exceed the size limit.
 func TestFramesRoundTrip(t *testing.T) {
-	mark := membership.Suspicion{ID: maxMember().ID, Counter: 1 << 60, Dead: true}
+	suspicion := membership.Suspicion{ID: maxMember().ID, Counter: 1 << 60, Dead: true}
 	report := quarantine.Report{Digest: 1 << 63, Crash: strings.Repeat("c", 128), Cleared: true}
 	frames := []Frame{
 		hello{Member: maxMember(), ConfigVersion: 7},
 		heartbeat{ConfigVersion: 7},
 		announce{Members: repeat(maxMember(), membersPerFrame)},
-		suspect{Marks: repeat(mark, marksPerFrame)},
+		suspect{Suspicions: repeat(suspicion, suspicionsPerFrame)},
 		digest{Buckets: repeat(uint64(1<<63), membership.DigestBuckets)},
 		diff{Buckets: repeat(63, membership.DigestBuckets), Members: repeat(maxMember(), membersPerFrame), Last: true},
 		configNotice{Version: 7, Hash: rollout.Hash(nil)},
--- a/control/handle.go
+++ b/control/handle.go
@@ -16,7 +16,7 @@
 	case announce:
 		c.mergeMembers(p, f.Members, true)
 	case suspect:
-		c.mergeMarks(p, f.Marks)
+		c.mergeSuspicions(p, f.Suspicions)
 	case digest:
 		c.handleDigest(p, membership.Digest(f.Buckets))
 	case diff:
@@ -113,9 +113,9 @@
 	}
 }
 
-func (c *Control) mergeMarks(p *peer, marks []membership.Suspicion) {
+func (c *Control) mergeSuspicions(p *peer, suspicions []membership.Suspicion) {
 	c.mu.Lock()
-	for _, k := range marks {
+	for _, k := range suspicions {
 		if c.view.MergeSuspicion(c.now(), k) {
 			c.pendingFlood[k.ID] = p
 		}
@@ -242,14 +242,14 @@
 
 func (c *Control) flushTo(p *peer) {
 	var members []membership.Member
-	var marks []membership.Suspicion
+	var suspicions []membership.Suspicion
 	for id, origin := range c.pendingFlood {
 		m, ok := c.view.Get(id)
 		if !ok || origin == p {
 			continue
 		}
 		if m.Suspected || m.Dead {
-			marks = append(marks, membership.Suspicion{ID: m.ID, Counter: m.Counter, Dead: m.Dead})
+			suspicions = append(suspicions, membership.Suspicion{ID: m.ID, Counter: m.Counter, Dead: m.Dead})
 		} else {
 			members = append(members, m)
 		}
@@ -257,8 +257,8 @@
 	for _, list := range chunks(members, membersPerFrame) {
 		p.send(announce{Members: list})
 	}
-	for _, list := range chunks(marks, marksPerFrame) {
-		p.send(suspect{Marks: list})
+	for _, list := range chunks(suspicions, suspicionsPerFrame) {
+		p.send(suspect{Suspicions: list})
 	}
 }
 
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -44,7 +44,7 @@
 		{"heartbeat", heartbeat{ConfigVersion: 1000}},
 		{"announce-1", announce{Members: members[:1]}},
 		{"announce-64", announce{Members: members}},
-		{"suspect-1", suspect{Marks: []membership.Suspicion{{ID: members[0].ID, Counter: 3}}}},
+		{"suspect-1", suspect{Suspicions: []membership.Suspicion{{ID: members[0].ID, Counter: 3}}}},
 		{"digest", digestFrame(view.Digest())},
 		{"diff-equal", diff{Last: true}},
 		{"diff-one-part-of-590", diff{Buckets: []int{17}, Members: members[:10], Last: true}},
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -85,8 +85,8 @@
 	// reported holds the state that a node reported over a connection after its row was read.
 	reported map[string]Node
 	// pendingLeavings holds, by node address, the leavings that other nodes could not write to the store.
-	pendingLeavings map[string]Incarnation
-	version         uint64
+	pendingDepartures map[string]Incarnation
+	version           uint64
 }
 
 // Merge adds a row from the store or from another node and reports whether the directory changed. It ignores invalid and
@@ -213,16 +213,16 @@
 
 // Hold stores the leaving of another node's backend server, which that node could not write to the store.
 func (d *Directory) AddPendingDeparture(address string, b Incarnation) {
-	if d.pendingLeavings == nil {
-		d.pendingLeavings = map[string]Incarnation{}
+	if d.pendingDepartures == nil {
+		d.pendingDepartures = map[string]Incarnation{}
 	}
-	if _, known := d.pendingLeavings[address]; known || len(d.pendingLeavings) < maxNodes {
-		d.pendingLeavings[address] = b
+	if _, known := d.pendingDepartures[address]; known || len(d.pendingDepartures) < maxNodes {
+		d.pendingDepartures[address] = b
 	}
 }
 
 // Held returns the pending leaving of a node.
 func (d *Directory) PendingDeparture(address string) (Incarnation, bool) {
-	b, ok := d.pendingLeavings[address]
+	b, ok := d.pendingDepartures[address]
 	return b, ok
 }
--- a/directory/tracker_test.go
+++ b/directory/tracker_test.go
@@ -35,7 +35,7 @@
 }
 
 // Guards against a restarted node that accepts a delayed announcement although the store records the leaving.
-func TestTrackerAppliesRecordedLeavings(t *testing.T) {
+func TestTrackerAppliesRecordedDepartures(t *testing.T) {
 	var tracker directory.Tracker
 	require.False(t, tracker.MarkLeaving(start(1)))
 	require.Equal(t, directory.BecameLeaving, tracker.Observe(start(1), 1, false))
--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -325,14 +325,14 @@
 		c.typical = kernel.NewLRU[string, float64](maxRoutes)
 	}
 	typical := c.typical.GetOrAdd(o.Route)
-	ran := max(o.RunTime.Seconds(), 1e-4)
+	runTime := max(o.RunTime.Seconds(), 1e-4)
 	if *typical == 0 {
-		*typical = ran
+		*typical = runTime
 		return
 	}
-	ratio := min(maxRatio, max(minRatio, ran / *typical))
+	ratio := min(maxRatio, max(minRatio, runTime / *typical))
 	p.ratio = p.runTimeRatio(now)
 	p.ratio += (ratio - p.ratio) * ratioSmoothing
 	p.ratioAt = now
-	*typical += (min(ran, maxRatio**typical) - *typical) * typicalSmoothing
+	*typical += (min(runTime, maxRatio**typical) - *typical) * typicalSmoothing
 }
--- a/failure/drain_test.go
+++ b/failure/drain_test.go
@@ -96,10 +96,10 @@
 
 // callCount returns the number of calls that the place's backend server has started.
 func (cl *cluster) callCount(p *testbed.Place) int {
-	ran, err := p.StartCounts(cl.ctx)
+	counts, err := p.StartCounts(cl.ctx)
 	require.NoError(cl.t, err)
 	n := 0
-	for _, count := range ran.Paths {
+	for _, count := range counts.Paths {
 		n += count
 	}
 	return n
--- a/failure/store_test.go
+++ b/failure/store_test.go
@@ -112,11 +112,11 @@
 	order := fmt.Sprintf("%s-%d", name, len(before))
 	a := send(cl.ctx, p.Callers, "POST", "/nursery/orders", orderBody(order),
 		"Lovagelane-Ticket", cl.ticket(p, "/nursery/orders", order))
-	ran, err := p.StartCounts(cl.ctx)
+	counts, err := p.StartCounts(cl.ctx)
 	switch {
 	case err != nil:
 		return err
-	case a.status != http.StatusOK || ran.Orders["/orders "+order] == 0:
+	case a.status != http.StatusOK || counts.Orders["/orders "+order] == 0:
 		return fmt.Errorf("%+v: the order did not run on the node's own backend server", a)
 	}
 	return nil
@@ -133,8 +133,8 @@
 				send(ctx, other.Callers, "GET", fmt.Sprintf("/nursery/stock?request=%s-%d", name, n), nil)
 			}
 		}
-		ran, err := p.StartCounts(ctx)
-		if err == nil && ran.Paths["GET /stock"] == 0 {
+		counts, err := p.StartCounts(ctx)
+		if err == nil && counts.Paths["GET /stock"] == 0 {
 			err = errors.New("no read ran on the backend server")
 		}
 		return err
--- a/failure/world_test.go
+++ b/failure/world_test.go
@@ -87,9 +87,9 @@
 	}
 	require.NoError(t, processSlots.Acquire(ctx, count))
 	t.Cleanup(func() { processSlots.Release(count) })
-	bed, err := testbed.New(ctx, testbed.Options{Bin: bin})
+	deployment, err := testbed.New(ctx, testbed.Options{Bin: bin})
 	require.NoError(t, err)
-	cl := &cluster{Deployment: bed, t: t, ctx: ctx, rules: rules, journal: filepath.Join(bed.Dir(), "journal")}
+	cl := &cluster{Deployment: deployment, t: t, ctx: ctx, rules: rules, journal: filepath.Join(deployment.Dir(), "journal")}
 	t.Cleanup(cl.stop)
 	for _, s := range services {
 		s.BackendFlags = append([]string{"--journal", cl.journal, "--fixed"}, s.BackendFlags...)
@@ -101,24 +101,24 @@
 	// each other only at the next listing of the store, up to a minute later; docs/PROOFS.md lists this as not proved.
 	first, rest := cl.services[0], cl.services[0]
 	first.Zones, rest.Zones = first.Zones[:1], rest.Zones[1:]
-	require.NoError(t, bed.Add(first))
-	require.NoError(t, bed.WaitHealthy(ready))
-	require.NoError(t, bed.Add(append([]testbed.Service{rest}, cl.services[1:]...)...))
-	require.NoError(t, bed.WaitHealthy(ready))
-	_, err = bed.Apply(ready, testbed.Inventory(cl.services), rules)
+	require.NoError(t, deployment.Add(first))
+	require.NoError(t, deployment.WaitHealthy(ready))
+	require.NoError(t, deployment.Add(append([]testbed.Service{rest}, cl.services[1:]...)...))
+	require.NoError(t, deployment.WaitHealthy(ready))
+	_, err = deployment.Apply(ready, testbed.Inventory(cl.services), rules)
 	require.NoError(t, err)
-	require.NoError(t, bed.WaitReady(ready, 1))
+	require.NoError(t, deployment.WaitReady(ready, 1))
 	return cl
 }
 
 func (cl *cluster) stop() {
-	ended := cl.Stop()
+	result := cl.Stop()
 	if cl.t.Failed() {
 		cl.t.Log("settings and logs are in", cl.Dir())
 		return
 	}
-	require.Empty(cl.t, ended.Running, "processes that could not be stopped")
-	require.Empty(cl.t, ended.Failed, "processes with a bad exit status")
+	require.Empty(cl.t, result.Running, "processes that could not be stopped")
+	require.Empty(cl.t, result.Failed, "processes with a bad exit status")
 	require.NoError(cl.t, cl.Remove())
 }
 
--- a/kernel/table.go
+++ b/kernel/table.go
@@ -22,43 +22,43 @@
 }
 
 // Len returns the number of entries.
-func (t *LRU[K, V]) Len() int { return len(t.index) }
+func (l *LRU[K, V]) Len() int { return len(l.index) }
 
 // Get returns the value for key and marks it as used, or returns nil if the table does not contain key.
-func (t *LRU[K, V]) Get(key K) *V {
-	elem, ok := t.index[key]
+func (l *LRU[K, V]) Get(key K) *V {
+	elem, ok := l.index[key]
 	if !ok {
 		return nil
 	}
-	t.order.MoveToFront(elem)
+	l.order.MoveToFront(elem)
 	return &elem.Value.(*entry[K, V]).value
 }
 
 // Put returns the value for key and marks it as used; if the table does not contain key, Put first inserts a zero value.
-func (t *LRU[K, V]) GetOrAdd(key K) *V {
-	if v := t.Get(key); v != nil {
+func (l *LRU[K, V]) GetOrAdd(key K) *V {
+	if v := l.Get(key); v != nil {
 		return v
 	}
-	if len(t.index) >= t.capacity {
-		t.remove(t.order.Back())
+	if len(l.index) >= l.capacity {
+		l.remove(l.order.Back())
 	}
 	e := &entry[K, V]{key: key}
-	t.index[key] = t.order.PushFront(e)
+	l.index[key] = l.order.PushFront(e)
 	return &e.value
 }
 
 // Each calls f for every entry, from the most to the least recently used, and removes those for which f returns false.
-func (t *LRU[K, V]) Retain(f func(key K, value *V) bool) {
-	for elem := t.order.Front(); elem != nil; {
+func (l *LRU[K, V]) Retain(f func(key K, value *V) bool) {
+	for elem := l.order.Front(); elem != nil; {
 		ent, next := elem.Value.(*entry[K, V]), elem.Next()
 		if !f(ent.key, &ent.value) {
-			t.remove(elem)
+			l.remove(elem)
 		}
 		elem = next
 	}
 }
 
-func (t *LRU[K, V]) remove(elem *list.Element) {
-	delete(t.index, elem.Value.(*entry[K, V]).key)
-	t.order.Remove(elem)
+func (l *LRU[K, V]) remove(elem *list.Element) {
+	delete(l.index, elem.Value.(*entry[K, V]).key)
+	l.order.Remove(elem)
 }
--- a/link/transport.go
+++ b/link/transport.go
@@ -24,7 +24,7 @@
 	// Greeting returns the payload of this node's hello frame.
 	Hello() []byte
 	// Greeted handles the payload of a hello frame; reply sends a notice on the same connection.
-	HandleHello(greeting []byte, reply func(notice []byte))
+	HandleHello(hello []byte, reply func(notice []byte))
 	// Call handles a call. The handler must answer it with c.Answer.
 	Call(c *IncomingCall)
 	// Status returns the payload of pings and pongs.
--- a/node/flight.go
+++ b/node/flight.go
@@ -17,8 +17,8 @@
 	retries retry.Budget
 }
 
-func newRetryBudget(policy retry.Policy, account retry.Budget) *retryBudget {
-	return &retryBudget{policy: policy, retries: account}
+func newRetryBudget(policy retry.Policy, budget retry.Budget) *retryBudget {
+	return &retryBudget{policy: policy, retries: budget}
 }
 
 // forCall returns the budget for one call that the holder of b makes.
--- a/node/gate.go
+++ b/node/gate.go
@@ -38,13 +38,13 @@
 	g.mu.Lock()
 	g.lastID++
 	item.ID = g.lastID
-	switch verdict := g.controller.Arrive(clock(), item).(type) {
+	switch d := g.controller.Arrive(clock(), item).(type) {
 	case admission.Start:
 		g.mu.Unlock()
 		return item.ID, call.ReasonNone
 	case admission.Refuse:
 		g.mu.Unlock()
-		return 0, verdict.Reason
+		return 0, d.Reason
 	}
 	decision := make(chan call.Reason, 1)
 	g.waiting[item.ID] = decision
--- a/node/owned.go
+++ b/node/owned.go
@@ -21,7 +21,7 @@
 	issuer *ticket.Issuer
 
 	mu    sync.Mutex
-	owner *ticket.OwnerTable
+	table *ticket.OwnerTable
 	// changed is closed and replaced whenever a request ends, to wake the resends that wait for it.
 	changed chan struct{}
 }
@@ -29,27 +29,27 @@
 func (o *ticketOwner) init(keys [][]byte, member, address string, started time.Time) {
 	o.issuer = ticket.NewIssuer(keys[0], member, address, started)
 	o.issuer.SetKeys(keys)
-	o.owner = ticket.NewOwnerTable(member, started)
+	o.table = ticket.NewOwnerTable(member, started)
 	o.changed = make(chan struct{})
 }
 
 func (o *ticketOwner) begin(now time.Time, t ticket.Ticket, out *outbound) (ticket.Decision, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.owner.Begin(now, t, out.op.Service, out.digest), o.changed
+	return o.table.Begin(now, t, out.op.Service, out.digest), o.changed
 }
 
-// recheck returns the verdict for a request whose earlier verdict was Join.
+// recheck returns the decision for a request whose earlier decision was Join.
 func (o *ticketOwner) recheck(now time.Time, t ticket.Ticket, out *outbound) (ticket.Decision, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.owner.DecideAfterJoin(now, t, out.op.Service, out.digest), o.changed
+	return o.table.DecideAfterJoin(now, t, out.op.Service, out.digest), o.changed
 }
 
 func (o *ticketOwner) finish(now time.Time, seq uint64, a ticket.Answer, unused int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.owner.Finish(now, seq, a, unused)
+	o.table.Finish(now, seq, a, unused)
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
@@ -123,9 +123,9 @@
 	out.priority.Value = out.priority.Value&call.FairShareValues | baseValue(n.ticketKeys[0], out.requestID)
 	timer := time.NewTimer(out.deadline.Sub(n.clock.Now()))
 	defer timer.Stop()
-	verdict, changed := n.ticketOwner.begin(n.clock.Now(), t, out)
+	decision, changed := n.ticketOwner.begin(n.clock.Now(), t, out)
 	for {
-		switch v := verdict.(type) {
+		switch v := decision.(type) {
 		case ticket.Run:
 			n.runTicketed(ctx, out, t, v.Allowance)
 			return
@@ -139,7 +139,7 @@
 		}
 		select {
 		case <-changed:
-			verdict, changed = n.ticketOwner.recheck(n.clock.Now(), t, out)
+			decision, changed = n.ticketOwner.recheck(n.clock.Now(), t, out)
 		case <-timer.C:
 			n.refuseCaller(ctx, &out.op, refusal(call.ReasonDeadline, call.OutcomeUnknown, out.op.TimeoutLine.String()))
 			return
--- a/retry/account.go
+++ b/retry/account.go
@@ -16,29 +16,29 @@
 func NewBudget(n int) Budget { return Budget{remaining: max(n, 0)} }
 
 // Left returns the number of retries that remain.
-func (a *Budget) Remaining() int { return a.remaining }
+func (b *Budget) Remaining() int { return b.remaining }
 
 // Take withdraws one retry and reports whether one remained.
-func (a *Budget) Withdraw() bool {
-	if a.remaining == 0 {
+func (b *Budget) Withdraw() bool {
+	if b.remaining == 0 {
 		return false
 	}
-	a.remaining--
+	b.remaining--
 	return true
 }
 
 // Share withdraws the share of an inner call, half of the remaining retries rounded up, and returns it.
-func (a *Budget) Share() int {
-	share := (a.remaining + 1) / 2
-	a.remaining -= share
+func (b *Budget) Share() int {
+	share := (b.remaining + 1) / 2
+	b.remaining -= share
 	return share
 }
 
 // Return refunds the unused part of a share, once for each Share. An answer that states more than the share is invalid, so
 // the whole share counts as used.
-func (a *Budget) Return(share, unused int) {
+func (b *Budget) Return(share, unused int) {
 	if unused > 0 && unused <= share {
-		a.remaining += unused
+		b.remaining += unused
 	}
 }
 
--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -19,20 +19,20 @@
 
 // outstandingShare is the allowance of an attempt whose answer is outstanding.
 type outstandingShare struct {
-	account *retry.Budget
-	given   int
+	budget *retry.Budget
+	given  int
 }
 
 // serve serves a call with an account. It starts all inner calls at once and retries each while the account allows it. Their
 // answers state the unused retries, are lost, or state more than the share.
-func (c *callTree) serve(account *retry.Budget, depth int) {
+func (c *callTree) serve(budget *retry.Budget, depth int) {
 	c.calls++
 	if depth == 0 || c.calls > 2000 {
 		return
 	}
 	var pending []outstandingShare
 	for range rapid.IntRange(0, 2).Draw(c.t, "fan-out") {
-		from := c.policy.Outgoing(account)
+		from := c.policy.Outgoing(budget)
 		pending = append(pending, outstandingShare{from, c.policy.Share(from)})
 	}
 	for len(pending) > 0 {
@@ -43,13 +43,13 @@
 		switch rapid.IntRange(0, 3).Draw(c.t, "answer") {
 		case 0:
 		case 1:
-			c.policy.Return(p.account, p.given, p.given+1+rapid.IntRange(0, 300).Draw(c.t, "claim"))
+			c.policy.Return(p.budget, p.given, p.given+1+rapid.IntRange(0, 300).Draw(c.t, "claim"))
 		default:
-			c.policy.Return(p.account, p.given, inner.Remaining())
+			c.policy.Return(p.budget, p.given, inner.Remaining())
 		}
-		if rapid.Bool().Draw(c.t, "retry") && p.account.Withdraw() {
+		if rapid.Bool().Draw(c.t, "retry") && p.budget.Withdraw() {
 			c.retries++
-			pending = append(pending, outstandingShare{p.account, c.policy.Share(p.account)})
+			pending = append(pending, outstandingShare{p.budget, c.policy.Share(p.budget)})
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := &callTree{t: t, policy: policy}
 		for n := range 5 {
-			account, ok := policy.Entry(n)
+			budget, ok := policy.Entry(n)
 			require.Equal(t, n <= 2, ok)
 			if !ok {
 				break
@@ -70,7 +70,7 @@
 			if n > 0 {
 				c.retries++
 			}
-			c.serve(&account, 15)
+			c.serve(&budget, 15)
 			if n == 0 {
 				require.LessOrEqual(t, c.retries, retry.MaxRetriesPerSend)
 			}
@@ -81,17 +81,17 @@
 
 // Guards against an account that loses retries although all answers arrive, that exceeds Bound because of a header, or that
 // refunds more than a share.
-func TestAccountSplitsAndRefunds(t *testing.T) {
-	account := retry.NewBudget(3)
-	first, second := account.Share(), account.Share()
-	require.Equal(t, []int{2, 1, 0}, []int{first, second, account.Share()})
-	require.False(t, account.Withdraw())
-	account.Return(first, first)
-	account.Return(second, second+1)
-	account.Return(second, -1)
-	require.Equal(t, 2, account.Remaining())
-	account.Return(second, second)
-	require.Equal(t, 3, account.Remaining())
+func TestBudgetSplitsAndRefunds(t *testing.T) {
+	budget := retry.NewBudget(3)
+	first, second := budget.Share(), budget.Share()
+	require.Equal(t, []int{2, 1, 0}, []int{first, second, budget.Share()})
+	require.False(t, budget.Withdraw())
+	budget.Return(first, first)
+	budget.Return(second, second+1)
+	budget.Return(second, -1)
+	require.Equal(t, 2, budget.Remaining())
+	budget.Return(second, second)
+	require.Equal(t, 3, budget.Remaining())
 
 	for n, want := range []int{3, 1, 0} {
 		resend, ok := retry.BudgetForResend(n)
@@ -107,20 +107,20 @@
 func TestPerHopRetriesMultiply(t *testing.T) {
 	policy, err := retry.Policies.Lookup("per-hop")
 	require.NoError(t, err)
-	var attempts func(account retry.Budget, depth int) int
-	attempts = func(account retry.Budget, depth int) int {
+	var attempts func(budget retry.Budget, depth int) int
+	attempts = func(budget retry.Budget, depth int) int {
 		if depth == 0 {
 			return 1
 		}
-		from, n := policy.Outgoing(&account), 0
+		from, n := policy.Outgoing(&budget), 0
 		for again := true; again; again = from.Withdraw() {
 			n += attempts(policy.Received(policy.Share(from)), depth-1)
 		}
 		return n
 	}
-	account, ok := policy.Entry(9)
+	budget, ok := policy.Entry(9)
 	require.True(t, ok)
 	received := policy.Received(0)
 	require.Equal(t, retry.MaxRetriesPerHop, received.Remaining())
-	require.Equal(t, 4*4*4, attempts(account, 3))
+	require.Equal(t, 4*4*4, attempts(budget, 3))
 }
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -15,9 +15,9 @@
 	// Outgoing returns the account from which the retries of one outgoing call of the parent are withdrawn.
 	Outgoing(parent *Budget) *Budget
 	// Share withdraws the allowance that is sent with one attempt of an outgoing call, and returns it.
-	Share(a *Budget) int
+	Share(b *Budget) int
 	// Return refunds the unused part of the allowance, as stated in the answer to an attempt.
-	Return(a *Budget, share, unused int)
+	Return(b *Budget, share, unused int)
 }
 
 // Policies is the registry of retry policies by name.
@@ -37,8 +37,8 @@
 func (shared) Entry(n int) (Budget, bool)          { return BudgetForResend(n) }
 func (shared) Received(allowance int) Budget       { return NewBudget(min(allowance, MaxRetriesPerSend)) }
 func (shared) Outgoing(parent *Budget) *Budget     { return parent }
-func (shared) Share(a *Budget) int                 { return a.Share() }
-func (shared) Return(a *Budget, share, unused int) { a.Return(share, unused) }
+func (shared) Share(b *Budget) int                 { return b.Share() }
+func (shared) Return(b *Budget, share, unused int) { b.Return(share, unused) }
 
 // perHop is the baseline policy in which each hop retries independently, so that retries multiply with the depth.
 type perHop struct{}
@@ -48,6 +48,6 @@
 func (perHop) Share(*Budget) int        { return 0 }
 func (perHop) Return(*Budget, int, int) {}
 func (perHop) Outgoing(*Budget) *Budget {
-	a := NewBudget(MaxRetriesPerHop)
-	return &a
+	b := NewBudget(MaxRetriesPerHop)
+	return &b
 }
--- a/retry/requests.go
+++ b/retry/requests.go
@@ -94,14 +94,14 @@
 // Repeats records an inner call with this digest of method, target and body. It reports whether the call counts as a retry,
 // which must be withdrawn from the parent's account with Take. Every new call beyond MaxInner different ones counts as a
 // retry, so that retries stay bounded.
-func (i *RepeatDetector) IsRepeat(digest uint64) bool {
-	if i.digests.Has(digest) || len(i.digests) >= MaxInner {
+func (d *RepeatDetector) IsRepeat(digest uint64) bool {
+	if d.digests.Has(digest) || len(d.digests) >= MaxInner {
 		return true
 	}
-	if i.digests == nil {
-		i.digests = kernel.Set[uint64]{}
+	if d.digests == nil {
+		d.digests = kernel.Set[uint64]{}
 	}
-	i.digests[digest] = struct{}{}
+	d.digests[digest] = struct{}{}
 	return false
 }
 
--- a/retry/requests_test.go
+++ b/retry/requests_test.go
@@ -87,15 +87,15 @@
 }
 
 // Guards against a backend server that repeats inner calls without a withdrawal from its parent's account.
-func TestInnerRecognisesRepeats(t *testing.T) {
-	var inner retry.RepeatDetector
-	require.False(t, inner.IsRepeat(1))
-	require.False(t, inner.IsRepeat(2))
-	require.True(t, inner.IsRepeat(1))
-	require.True(t, inner.IsRepeat(1))
+func TestRepeatDetectorRecognisesRepeats(t *testing.T) {
+	var detector retry.RepeatDetector
+	require.False(t, detector.IsRepeat(1))
+	require.False(t, detector.IsRepeat(2))
+	require.True(t, detector.IsRepeat(1))
+	require.True(t, detector.IsRepeat(1))
 	for digest := uint64(3); digest <= retry.MaxInner; digest++ {
-		require.False(t, inner.IsRepeat(digest))
+		require.False(t, detector.IsRepeat(digest))
 	}
-	require.True(t, inner.IsRepeat(retry.MaxInner+1), "a call beyond MaxInner counts as a retry")
-	require.True(t, inner.IsRepeat(retry.MaxInner+1))
+	require.True(t, detector.IsRepeat(retry.MaxInner+1), "a call beyond MaxInner counts as a retry")
+	require.True(t, detector.IsRepeat(retry.MaxInner+1))
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against nodes that together send more repeats in some window than the deployment allows.
-func TestWindowsStayWithinTheSharedBudget(t *testing.T) {
+func TestWindowBudgetsStayWithinTheSharedBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, fixed = 0.2, 50.0
 		const length = 10 * time.Second
@@ -49,7 +49,7 @@
 }
 
 // Guards against a repeat that causes many downstream calls and is counted as one.
-func TestWindowsCountTheCostOfARepeat(t *testing.T) {
+func TestWindowBudgetsCountTheCostOfARepeat(t *testing.T) {
 	w := retry.WindowBudgets{Ratio: 0.2, Fixed: 20, Length: 10 * time.Second}
 	now := time.Unix(1000, 0)
 	require.True(t, w.Withdraw(now, "maps", 10, 1))
--- a/ticket/model_test.go
+++ b/ticket/model_test.go
@@ -36,7 +36,7 @@
 	token   string
 	digest  uint64
 	seq     uint64
-	account retry.Budget
+	budget  retry.Budget
 	attempt call.Attempt
 	server  int
 	share   int
@@ -109,7 +109,7 @@
 	ids := m.serverIDs[r.server]
 	id := ids[len(ids)-1-m.draw("incarnation", min(2, len(ids)))]
 	r.attempt = call.Attempt{Sender: m.ownerID, Receiver: id, Seq: m.sequence.Next()}
-	r.share = r.account.Share()
+	r.share = r.budget.Share()
 	m.send(message{kind: "attempt", token: r.token, digest: r.digest, server: r.server, attempt: r.attempt, share: r.share})
 }
 
@@ -133,7 +133,7 @@
 			m.digests[msg.token] = msg.digest
 		}
 		m.answeredNotRun[msg.token] = false
-		r := &run{token: msg.token, digest: msg.digest, seq: tkt.Seq, account: retry.NewBudget(v.Allowance)}
+		r := &run{token: msg.token, digest: msg.digest, seq: tkt.Seq, budget: retry.NewBudget(v.Allowance)}
 		m.runs = append(m.runs, r)
 		m.startAttempt(r)
 	case ticket.Replay:
@@ -156,8 +156,8 @@
 		if r.attempt != msg.attempt || msg.state.Running {
 			continue
 		}
-		r.account.Return(r.share, msg.unused)
-		if msg.state.Outcome == call.OutcomeNotRun && r.account.Withdraw() {
+		r.budget.Return(r.share, msg.unused)
+		if msg.state.Outcome == call.OutcomeNotRun && r.budget.Withdraw() {
 			m.retries[r.token]++
 			m.startAttempt(r)
 			return
@@ -170,7 +170,7 @@
 func (m *model) finish(i int, outcome call.Outcome) {
 	r := m.runs[i]
 	m.runs = append(m.runs[:i], m.runs[i+1:]...)
-	m.owner.Finish(m.ownerClock, r.seq, ticket.Answer{Outcome: outcome}, r.account.Remaining())
+	m.owner.Finish(m.ownerClock, r.seq, ticket.Answer{Outcome: outcome}, r.budget.Remaining())
 	if outcome == call.OutcomeNotRun {
 		m.recordNotRunAnswer(r.token)
 	}
--- a/ticket/owner_test.go
+++ b/ticket/owner_test.go
@@ -39,7 +39,7 @@
 )
 
 // Guards against a ticket that runs twice, or that runs for a request, service or owner other than that of its first use.
-func TestOwnerRunsATicketOnce(t *testing.T) {
+func TestOwnerTableRunsATicketOnce(t *testing.T) {
 	o := newOwnerNode(t)
 	tkt := o.ticket(start)
 	invalid := refusal(call.ReasonTicketInvalid, call.OutcomeNotRun)
@@ -64,7 +64,7 @@
 }
 
 // Guards against a ticket that runs again, or is reported as "not run", after the owner pruned it, also when the clock jumps.
-func TestOwnerPrunesOnlyExpiredTickets(t *testing.T) {
+func TestOwnerTablePrunesOnlyExpiredTickets(t *testing.T) {
 	o := newOwnerNode(t)
 	unused, used, long := o.ticket(start), o.ticket(start), o.ticket(start)
 	o.begin(start, used)
@@ -88,7 +88,7 @@
 }
 
 // Guards against a full table that drops a ticket before it expires or grows beyond its bound.
-func TestOwnerRefusesNewTicketsWhenFull(t *testing.T) {
+func TestOwnerTableRefusesNewTicketsWhenFull(t *testing.T) {
 	o := newOwnerNode(t)
 	first := o.ticket(start)
 	o.begin(start, first)
@@ -105,7 +105,7 @@
 
 // Guards against resends that add retries beyond the bound, and against resends that are not counted because they joined a
 // run.
-func TestOwnerCountsResends(t *testing.T) {
+func TestOwnerTableCountsResends(t *testing.T) {
 	o := newOwnerNode(t)
 	spent := refusal(call.ReasonRetriesSpent, call.OutcomeNotRun)
 	end := func(tkt ticket.Ticket, unused int) { o.Finish(start, tkt.Seq, notRunAnswer, unused) }
@@ -139,7 +139,7 @@
 }
 
 // Guards against an order of sends and ends in which the retries of a request exceed the bound.
-func TestOwnerBoundsRetriesOfARequest(t *testing.T) {
+func TestOwnerTableBoundsRetriesOfARequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOwnerNode(t)
 		tkt := o.ticket(start)
