--- a/balance/chooser.go
+++ b/balance/chooser.go
@@ -167,7 +167,7 @@
 // HedgeDelay returns how long to wait for an answer before sending a hedged request; zero means unknown.
 func (c *Chooser) HedgeDelay() time.Duration { return c.latencies.p95 }
 
-// Avoided returns the IDs of the candidates that are currently avoided.
+// Ejected returns the IDs of the candidates that are currently ejected.
 func (c *Chooser) Ejected() []string {
 	var ids []string
 	for id, p := range c.peers {
--- a/burn/gather.go
+++ b/burn/gather.go
@@ -6,14 +6,14 @@
 	"lovagelane/kernel"
 )
 
-// Answer holds the snapshot of one node, or the error of its request.
+// NodeAnswer holds the snapshot of one node, or the error of its request.
 type NodeAnswer struct {
 	Address  string
 	Snapshot Snapshot
 	Err      error
 }
 
-// Gather merges the answers of all nodes into one snapshot. A node whose request failed, or whose answer does not contain
+// MergeAnswers merges the answers of all nodes into one snapshot. A node whose request failed, or whose answer does not contain
 // exactly one node, is listed as missing. A node that answered at two addresses counts once.
 func MergeAnswers(answers []NodeAnswer) Snapshot {
 	seen := kernel.Set[string]{}
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -93,7 +93,7 @@
 	return c
 }
 
-// Event records that the node entered a protective state. A repeat within 10 minutes of the last one extends that event.
+// RecordEvent records that the node entered a protective state. A repeat within 10 minutes of the last one extends that event.
 func (r *Recorder) RecordEvent(kind EventKind, subject string) {
 	if r == nil {
 		return
--- a/call/header.go
+++ b/call/header.go
@@ -6,5 +6,5 @@
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true,
 }
 
-// ConnectionHeader reports whether a header applies to a single connection only and must not be forwarded.
+// IsHopByHopHeader reports whether a header applies to a single connection only and must not be forwarded.
 func IsHopByHopHeader(name string) bool { return hopByHopHeaders[name] }
--- a/call/priority.go
+++ b/call/priority.go
@@ -5,7 +5,8 @@
 const (
 	// MaxRank is the rank of the least important class that rules may define.
 	MaxRank = 15
-	// FairValues is the number of values for callers within their fair share; callers above it get values from FairValues up.
+	// FairShareValues is the number of values for callers within their fair share; callers above it get values from
+	// FairShareValues up.
 	FairShareValues = 128
 )
 
@@ -21,7 +22,7 @@
 // Key returns a sort key that is lower for more important priorities.
 func (p Priority) Key() uint16 { return uint16(p.Rank)<<8 | uint16(p.Value) }
 
-// PriorityOf returns the priority with the given key.
+// PriorityFromKey returns the priority with the given key.
 func PriorityFromKey(key uint16) Priority {
 	return Priority{Rank: uint8(key >> 8), Value: uint8(key)}
 }
--- a/command/operations_test.go
+++ b/command/operations_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// documented holds patterns that find the operator-visible names in the sources, and the minimum number of names
+// documentedNames holds patterns that find the operator-visible names in the sources, and the minimum number of names
 // that each pattern must find.
 var documentedNames = map[string]struct {
 	files   string
--- a/control/control.go
+++ b/control/control.go
@@ -249,7 +249,7 @@
 	signal(c.renewNow)
 }
 
-// SpreadCrash floods crash reports to all nodes.
+// FloodCrashes floods crash reports to all nodes.
 func (c *Control) FloodCrashes(reports []quarantine.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/tuning.go
+++ b/control/tuning.go
@@ -20,7 +20,7 @@
 // nodeOnlyKeyring rejects operators' keys on incoming connections, because a control peer can change the view of all nodes.
 type nodeOnlyKeyring struct{ *keys.Keyring }
 
-// Server returns the keyring's server settings with an additional check that the peer has the node role.
+// ServerConfig returns the keyring's server settings with an additional check that the peer has the node role.
 func (n nodeOnlyKeyring) ServerConfig(protocols ...string) *tls.Config {
 	c := n.Keyring.ServerConfig(protocols...)
 	verify := c.VerifyConnection
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -43,7 +43,7 @@
 // Incarnation identifies one process of a backend server.
 type Incarnation struct {
 	ID string `cbor:"1,keyasint"`
-	// Born is the start time in Unix milliseconds, which distinguishes processes with the same id.
+	// StartMillis is the start time in Unix milliseconds, which distinguishes processes with the same id.
 	StartMillis int64 `cbor:"2,keyasint"`
 }
 
@@ -84,7 +84,7 @@
 	entries map[string]Entry
 	// reported holds the state that a node reported over a connection after its row was read.
 	reported map[string]Node
-	// pendingLeavings holds, by node address, the leavings that other nodes could not write to the store.
+	// pendingDepartures holds, by node address, the departures that other nodes could not write to the store.
 	pendingDepartures map[string]Incarnation
 	version           uint64
 }
@@ -125,7 +125,7 @@
 	d.version = max(d.version, version)
 }
 
-// Seen records the state that a node reported over a connection, which is newer than its row, and reports whether it
+// MergeReport records the state that a node reported over a connection, which is newer than its row, and reports whether it
 // changed. It ignores nodes without a row.
 func (d *Directory) MergeReport(n Node) bool {
 	e, known := d.entries[n.Address]
@@ -211,7 +211,7 @@
 	return h.Sum32()
 }
 
-// Hold stores the leaving of another node's backend server, which that node could not write to the store.
+// AddPendingDeparture stores the departure of another node's backend server, which that node could not write to the store.
 func (d *Directory) AddPendingDeparture(address string, b Incarnation) {
 	if d.pendingDepartures == nil {
 		d.pendingDepartures = map[string]Incarnation{}
@@ -221,7 +221,7 @@
 	}
 }
 
-// Held returns the pending leaving of a node.
+// PendingDeparture returns the pending departure of a node.
 func (d *Directory) PendingDeparture(address string) (Incarnation, bool) {
 	b, ok := d.pendingDepartures[address]
 	return b, ok
--- a/directory/tracker.go
+++ b/directory/tracker.go
@@ -1,14 +1,14 @@
 package directory
 
-// Heard is the state change that an announcement of a backend server causes at its node.
+// Transition is the state change that an announcement of a backend server causes at its node.
 type Transition uint8
 
 const (
-	// HeardNothing means that the announcement is outdated or changes nothing.
+	// NoTransition means that the announcement is outdated or changes nothing.
 	NoTransition Transition = iota
-	// HeardServing means that the backend server accepts calls from now on.
+	// BecameServing means that the backend server accepts calls from now on.
 	BecameServing
-	// HeardLeaving means that the backend server accepts no new calls from now on.
+	// BecameLeaving means that the backend server accepts no new calls from now on.
 	BecameLeaving
 )
 
@@ -29,7 +29,7 @@
 // Current returns the current incarnation and its state.
 func (t *Tracker) Current() (Incarnation, State) { return t.current, t.state }
 
-// Hear processes an announcement and returns the state change that it causes.
+// Observe processes an announcement and returns the state change that it causes.
 func (t *Tracker) Observe(b Incarnation, sequence uint64, leaving bool) Transition {
 	switch {
 	case b.StartMillis < t.current.StartMillis:
@@ -60,7 +60,7 @@
 	return NoTransition
 }
 
-// Left records that an incarnation is leaving and reports whether the state of the current one changed.
+// MarkLeaving records that an incarnation is leaving and reports whether the state of the current one changed.
 func (t *Tracker) MarkLeaving(b Incarnation) bool {
 	t.addLeaving(b)
 	if b != t.current || t.state == Leaving || t.state == Absent {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Lost records that the current incarnation is unreachable, so that only a later announcement makes it serve again, and
-// reports whether it was serving.
+// MarkUnreachable records that the current incarnation is unreachable, so that only a later announcement makes it serve
+// again, and reports whether it was serving.
 func (t *Tracker) MarkUnreachable() bool {
 	if t.state != Serving {
 		return false
--- a/directory/tracker_test.go
+++ b/directory/tracker_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against a restarted node that accepts a delayed announcement although the store records the leaving.
+// Guards against a restarted node that accepts a delayed announcement although the store records the departure.
 func TestTrackerAppliesRecordedDepartures(t *testing.T) {
 	var tracker directory.Tracker
 	require.False(t, tracker.MarkLeaving(start(1)))
@@ -45,7 +45,7 @@
 	require.Equal(t, directory.Leaving, state)
 }
 
-// Guards against an incarnation that serves again after it announced its leaving, with announcements in any order.
+// Guards against an incarnation that serves again after it announced its departure, with announcements in any order.
 func TestTrackerNeverServesAfterLeaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker directory.Tracker
--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -67,24 +67,24 @@
 	Objective time.Duration
 	// Exclude holds the addresses that the call must not be sent to again.
 	Exclude kernel.Set[string]
-	// Within is the longest total time that the call may wait in queues.
+	// MaxWait is the longest total time that the call may wait in queues.
 	MaxWait time.Duration
 }
 
 // Choice names the backend server that takes a call.
 type Choice struct {
 	Address string
-	// Wait is the longest time that the call may wait in the queue there. Beyond it, the second-best candidate would have
+	// MaxWait is the longest time that the call may wait in the queue there. Beyond it, the second-best candidate would have
 	// cost less.
 	MaxWait time.Duration
-	// Region and Zone report whether the call leaves its region or its availability zone.
+	// CrossRegion and CrossZone report whether the call leaves its region or its availability zone.
 	CrossRegion, CrossZone bool
 }
 
-// Outcome is the observed result of a call: Answered, Capped, Unusable, Failed or Ended.
+// Outcome is the observed result of a call: Answered, Capped, Unusable, Failed or Inconclusive.
 type Outcome interface{ outcome() }
 
-// Answered means that the backend server ran the call; Ran is the run time.
+// Answered means that the backend server ran the call; RunTime is how long that took.
 type Answered struct {
 	Route   string
 	RunTime time.Duration
@@ -100,8 +100,8 @@
 // Failed means that the backend server was reached but returned no valid answer.
 type Failed struct{}
 
-// Ended means that the call says nothing about the backend server beyond its reported load: no slot became free in time, the
-// caller disconnected, or the deadline passed.
+// Inconclusive means that the call says nothing about the backend server beyond its reported load: no slot became free in
+// time, the caller disconnected, or the deadline passed.
 type Inconclusive struct{}
 
 func (Answered) outcome()     {}
@@ -215,7 +215,7 @@
 	return cost + time.Duration(random.IntN(int(time.Millisecond)))
 }
 
-// Typical returns the typical run time of a route's calls, a moving average.
+// TypicalRunTime returns the typical run time of a route's calls, a moving average.
 func (c *Chooser) TypicalRunTime(route string) time.Duration {
 	if c.typical != nil {
 		if seconds := c.typical.Get(route); seconds != nil {
@@ -278,14 +278,14 @@
 	p.failureRate, p.failureRateAt = rate+(failed-rate)*failureSmoothing, now
 }
 
-// Report records the load that a node reported for its backend server.
+// RecordLoad records the load that a node reported for its backend server.
 func (c *Chooser) RecordLoad(now time.Time, address string, l slots.Load) {
 	if p := c.peers[address]; p != nil {
 		p.load, p.loadAt, p.sentSinceReport = l, now, 0
 	}
 }
 
-// Learn records the outcome of a call to a backend server.
+// RecordOutcome records the outcome of a call to a backend server.
 func (c *Chooser) RecordOutcome(now time.Time, address string, o Outcome) {
 	p := c.peers[address]
 	if p == nil {
@@ -313,7 +313,7 @@
 	}
 }
 
-// Usable ends the avoidance of a backend server that is known to be ready again.
+// MarkUsable ends the avoidance of a backend server that is known to be ready again.
 func (c *Chooser) MarkUsable(address string) {
 	if p := c.peers[address]; p != nil {
 		p.avoidedUntil, p.backoff = time.Time{}, 0
--- a/event/log.go
+++ b/event/log.go
@@ -29,7 +29,7 @@
 
 	mu      sync.Mutex
 	buckets map[string]*tokenBucket
-	// rates holds the rate limits that Allow has set, in lines per second, by event name.
+	// rates holds the rate limits that SetRate has set, in lines per second, by event name.
 	rates map[string]int
 }
 
@@ -54,7 +54,7 @@
 	return &Log{clock: clock, logger: logger, buckets: map[string]*tokenBucket{}}
 }
 
-// Allow sets the rate limit of each of the events, in lines per second. Call it before their first line.
+// SetRate sets the rate limit of each of the events, in lines per second. Call it before their first line.
 func (l *Log) SetRate(rate int, events ...string) {
 	if l == nil {
 		return
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// maxConcurrentRequests bounds the concurrent requests of AskAll.
+	// maxConcurrentRequests bounds the concurrent requests of GetAll.
 	maxConcurrentRequests = 64
-	// requestTimeout bounds connecting and each request of AskAll and Notify; a drain sets its own, longer timeout.
+	// requestTimeout bounds connecting and each request of GetAll and Notify; a drain sets its own, longer timeout.
 	requestTimeout = 3 * time.Second
 	// maxResponseBytes bounds the response body of a node.
 	maxResponseBytes = 8 << 20
@@ -47,7 +47,7 @@
 	client *http.Client
 }
 
-// Open returns a Fleet that uses the operator's key in a directory written by "lovagelane keys".
+// New returns a Fleet that uses the operator's key in a directory written by "lovagelane keys".
 func New(keysDir string) (*Fleet, error) {
 	keyring, err := keys.Load(keys.PathsIn(keysDir, keys.RoleOperator))
 	if err != nil {
@@ -113,7 +113,7 @@
 	return append(status.Members, status.Member), nil
 }
 
-// Ask sends a request to the calls address of a node and decodes the JSON response into v, unless v is nil.
+// Request sends a request to the calls address of a node and decodes the JSON response into v, unless v is nil.
 func (f *Fleet) Request(ctx context.Context, address, method, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "https://"+address+path, nil)
 	if err != nil {
@@ -160,7 +160,7 @@
 	Err    error
 }
 
-// AskAll sends a GET request to all members concurrently and returns one Answer for each, in the order of members.
+// GetAll sends a GET request to all members concurrently and returns one Answer for each, in the order of members.
 func GetAll[T any](ctx context.Context, f *Fleet, members []membership.Member, path string) []Answer[T] {
 	answers := make([]Answer[T], len(members))
 	pool := kernel.NewPool(maxConcurrentRequests, len(members)+1)
--- a/hangup/watch.go
+++ b/hangup/watch.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Watch detects when waiting callers close their connection. The zero value is ready to use.
+// Watcher detects when waiting callers close their connection. The zero value is ready to use.
 type Watcher struct {
 	mu      sync.Mutex
 	nextID  uint64
--- a/inventory/config.go
+++ b/inventory/config.go
@@ -248,7 +248,7 @@
 // Classes returns the classes in file order.
 func (c *Config) Classes() []Class { return slices.Clone(c.classes) }
 
-// Requests returns the request rules in file order.
+// RequestRules returns the request rules in file order.
 func (c *Config) RequestRules() []RequestRule { return slices.Clone(c.requests) }
 
 // Callers returns the callers in file order.
--- a/kernel/table.go
+++ b/kernel/table.go
@@ -2,8 +2,8 @@
 
 import "container/list"
 
-// Table is a map with a fixed capacity that evicts the least recently used entry when it is full. Get and Put take
-// constant time. Use NewTable to create one.
+// LRU is a map with a fixed capacity that evicts the least recently used entry when it is full. Get and GetOrAdd take
+// constant time. Use NewLRU to create one.
 type LRU[K comparable, V any] struct {
 	capacity int
 	index    map[K]*list.Element
@@ -16,7 +16,7 @@
 	value V
 }
 
-// NewTable returns an empty table for at most capacity entries; a capacity below 1 counts as 1.
+// NewLRU returns an empty map for at most capacity entries; a capacity below 1 counts as 1.
 func NewLRU[K comparable, V any](capacity int) *LRU[K, V] {
 	return &LRU[K, V]{capacity: max(capacity, 1), index: map[K]*list.Element{}, order: list.New()}
 }
@@ -24,7 +24,7 @@
 // Len returns the number of entries.
 func (l *LRU[K, V]) Len() int { return len(l.index) }
 
-// Get returns the value for key and marks it as used, or returns nil if the table does not contain key.
+// Get returns the value for key and marks it as used, or returns nil if the map does not contain key.
 func (l *LRU[K, V]) Get(key K) *V {
 	elem, ok := l.index[key]
 	if !ok {
@@ -34,7 +34,7 @@
 	return &elem.Value.(*entry[K, V]).value
 }
 
-// Put returns the value for key and marks it as used; if the table does not contain key, Put first inserts a zero value.
+// GetOrAdd returns the value for key and marks it as used; if the map does not contain key, it first inserts a zero value.
 func (l *LRU[K, V]) GetOrAdd(key K) *V {
 	if v := l.Get(key); v != nil {
 		return v
@@ -47,7 +47,7 @@
 	return &e.value
 }
 
-// Each calls f for every entry, from the most to the least recently used, and removes those for which f returns false.
+// Retain calls f for every entry, from the most to the least recently used, and removes those for which f returns false.
 func (l *LRU[K, V]) Retain(f func(key K, value *V) bool) {
 	for elem := l.order.Front(); elem != nil; {
 		ent, next := elem.Value.(*entry[K, V]), elem.Next()
--- a/keys/peer.go
+++ b/keys/peer.go
@@ -8,7 +8,7 @@
 	"github.com/zeebo/errs"
 )
 
-// Refused is the class of errors for peers whose certificate is rejected.
+// PeerRefused is the class of errors for peers whose certificate is rejected.
 var PeerRefused = errs.Class("peer refused")
 
 // Role is the role that a certificate grants.
@@ -41,7 +41,7 @@
 		c.Subject.OrganizationalUnit, RoleNode, RoleOperator)
 }
 
-// Server returns the TLS configuration for listeners, which accept only peers with a certificate of the deployment. A
+// ServerConfig returns the TLS configuration for listeners, which accept only peers with a certificate of the deployment. A
 // reloaded key applies from the next handshake.
 func (k *Keyring) ServerConfig(protocols ...string) *tls.Config {
 	c := k.baseConfig(protocols)
@@ -54,7 +54,7 @@
 	return c
 }
 
-// Client returns the TLS configuration for connections to nodes, which must present a node's certificate of the deployment.
+// ClientConfig returns the TLS configuration for connections to nodes, which must present a node's certificate of the deployment.
 func (k *Keyring) ClientConfig(protocols ...string) *tls.Config {
 	c := k.baseConfig(protocols)
 	c.InsecureSkipVerify = true // VerifyConnection verifies the chain, but no host name
--- a/link/session.go
+++ b/link/session.go
@@ -17,7 +17,7 @@
 	maxCallsPerSession = 16384
 )
 
-// Served is a call received from another node. The handler must call Answer once.
+// IncomingCall is a call received from another node. The handler must call Answer once.
 type IncomingCall struct {
 	// Payload is the payload of the call; Answer sets it to nil.
 	Payload []byte
--- a/link/transport.go
+++ b/link/transport.go
@@ -21,17 +21,17 @@
 
 // Handler handles the messages of other nodes. Its methods must not block.
 type Handler interface {
-	// Greeting returns the payload of this node's hello frame.
+	// Hello returns the payload of this node's hello frame.
 	Hello() []byte
-	// Greeted handles the payload of a hello frame; reply sends a notice on the same connection.
+	// HandleHello handles the payload of a hello frame; reply sends a notice on the same connection.
 	HandleHello(hello []byte, reply func(notice []byte))
 	// Call handles a call. The handler must answer it with c.Answer.
 	Call(c *IncomingCall)
 	// Status returns the payload of pings and pongs.
 	Status() []byte
-	// Heard handles the status of another node; reply sends a notice on the same connection.
+	// HandleStatus handles the status of another node; reply sends a notice on the same connection.
 	HandleStatus(status []byte, reply func(notice []byte))
-	// Notice handles a notice; reply sends another one on the same connection.
+	// HandleNotice handles a notice; reply sends another one on the same connection.
 	HandleNotice(notice []byte, reply func(notice []byte))
 }
 
@@ -124,7 +124,7 @@
 	return list
 }
 
-// Connect makes the connections to exactly these addresses persistent: they stay open while no calls are in flight.
+// SetPersistentPeers makes the connections to exactly these addresses persistent: they stay open while no calls are in flight.
 func (t *Transport) SetPersistentPeers(addresses []string) {
 	wanted := kernel.SetOf(addresses...)
 	for address := range wanted {
@@ -135,7 +135,7 @@
 	}
 }
 
-// Unreachable returns for how long every attempt to connect to a node has failed, or 0 if none has failed since the last
+// UnreachableFor returns for how long every attempt to connect to a node has failed, or 0 if none has failed since the last
 // connection. If earlier attempts have failed, it makes another one, since they may have been long ago.
 func (t *Transport) UnreachableFor(address string) time.Duration {
 	p := t.Peer(address)
--- a/membership/rings.go
+++ b/membership/rings.go
@@ -74,7 +74,7 @@
 	return watched
 }
 
-// HoldsLinks reports whether the member is a link node of its region.
+// IsLinkNode reports whether the member is a link node of its region.
 func (r Rings) IsLinkNode(m Member) bool {
 	return slices.ContainsFunc(r.regions[m.Region].links, func(l Member) bool { return l.ID == m.ID })
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -28,7 +28,7 @@
 // Digest is a hash of the live announcements of a view by bucket. Views with the same live announcements have equal digests.
 type Digest [DigestBuckets]uint64
 
-// Mark states that a member is suspected or dead, as of the announcement with the given counter.
+// Suspicion states that a member is suspected or dead, as of the announcement with the given counter.
 type Suspicion struct {
 	ID      string `cbor:"1,keyasint"`
 	Counter uint64 `cbor:"2,keyasint"`
@@ -72,11 +72,11 @@
 	v.suspicionTimeout, v.tombstoneRetention = suspicion, retention
 }
 
-// Changes returns the number of changes of the view.
+// ChangeCount returns the number of changes of the view.
 func (v *View) ChangeCount() uint64 { return v.changeCount }
 
-// Roster returns a version that increases when the set of live members or the region of a member changes, which is when the
-// rings must be rebuilt.
+// RosterVersion returns a version that increases when the set of live members or the region of a member changes, which is
+// when the rings must be rebuilt.
 func (v *View) RosterVersion() uint64 { return v.rosterVersion }
 
 // Digest returns the digest of the live announcements in the view.
@@ -103,8 +103,8 @@
 	return true
 }
 
-// MergeMark merges a suspicion or death of a member and reports whether the view changed. A mark has no effect unless the
-// view contains the announcement that it refers to.
+// MergeSuspicion merges a suspicion or death of a member and reports whether the view changed. It has no effect unless the
+// view contains the announcement that the suspicion refers to.
 func (v *View) MergeSuspicion(now time.Time, k Suspicion) bool {
 	e, ok := v.entries[k.ID]
 	if !ok || e.member.Counter != k.Counter {
@@ -122,7 +122,7 @@
 	return ok && e.live() && v.MergeSuspicion(now, Suspicion{ID: id, Counter: e.member.Counter})
 }
 
-// Remove marks a member as dead because another member answers at its address, and reports whether the view changed.
+// MarkDead marks a member as dead because another member answers at its address, and reports whether the view changed.
 func (v *View) MarkDead(now time.Time, id string) bool {
 	e, ok := v.entries[id]
 	return ok && v.MergeSuspicion(now, Suspicion{ID: id, Counter: e.member.Counter, Dead: true})
@@ -134,7 +134,7 @@
 	v.announce(now)
 }
 
-// SetPlace announces the region and slots of the own member, which a node reads from the configuration.
+// SetRegionAndSlots announces the region and slots of the own member, which a node reads from the configuration.
 func (v *View) SetRegionAndSlots(now time.Time, region string, slots int) {
 	v.self.Region, v.self.Slots = region, slots
 	v.announce(now)
@@ -234,7 +234,7 @@
 	return v.InBuckets(buckets), buckets
 }
 
-// InParts returns the live members in the given digest buckets, ordered by id.
+// InBuckets returns the live members in the given digest buckets, ordered by id.
 func (v *View) InBuckets(buckets []int) []Member {
 	if len(buckets) == 0 {
 		return nil
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -235,7 +235,7 @@
 		}
 		for _, m := range members {
 			require.LessOrEqual(t, watched[m.ID], 2)
-			require.Equal(t, perRegion[m.Region] > 1, watched[m.ID] > 0, "a member is watched only if its region has others")
+			require.Equal(t, perRegion[m.Region] > 1, watched[m.ID] > 0, "a member is watched if and only if its region has others")
 			require.Equal(t, perRegion[m.Region], reachableCount(rings, m), "not all members of the region are reachable")
 		}
 		for i, from := range regions {
--- a/mesh/deployment.go
+++ b/mesh/deployment.go
@@ -36,14 +36,14 @@
 	ReadAnnouncement(ctx *fasthttp.RequestCtx) (Announcement, error)
 }
 
-// Claims is the metadata that a request carries in its headers.
+// RequestMeta is the metadata that a request carries in its headers.
 type RequestMeta struct {
 	ID string
 	// Remaining is the time until the caller's deadline, or zero if the request states none.
 	Remaining time.Duration
 }
 
-// Passed is the metadata that a node adds to a request before it sends it to its backend server.
+// ForwardMeta is the metadata that a node adds to a request before it sends it to its backend server.
 type ForwardMeta struct {
 	Remaining time.Duration
 	// Backend is the id of the only backend server that may run the request.
@@ -52,11 +52,11 @@
 	Caller string
 }
 
-// Reply is the metadata that a backend server's answer carries in its headers.
+// AnswerMeta is the metadata that a backend server's answer carries in its headers.
 type AnswerMeta struct {
 	// ID is the id of the request that the answer belongs to, or empty if it names none.
 	ID string
-	// Stamped is set when the answer carries the signature of the backend server.
+	// Signed is set when the answer carries the signature of the backend server.
 	Signed bool
 	// NotRun is set when the backend server states that it did not run the request.
 	NotRun bool
@@ -71,7 +71,7 @@
 	Backend directory.Incarnation
 	// Sequence increases with each announcement of an incarnation.
 	Sequence uint64
-	// Gone is set on a deregistration.
+	// Deregistered is set on a deregistration.
 	Deregistered bool
 	// Leaving is set while the backend server is draining: it takes no new calls.
 	Leaving bool
--- a/mesh/gossip.go
+++ b/mesh/gossip.go
@@ -9,14 +9,14 @@
 // storeGrace is how long a node that is behind another one waits for the update from the store before it pulls from it.
 const storeGrace = 400 * time.Millisecond
 
-// Greeting implements link.Handler.
+// Hello implements link.Handler.
 func (n *Node) Hello() []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return encode(helloMessage{Node: n.selfLocked(), Versions: n.versionsLocked()})
 }
 
-// Greeted implements link.Handler. It returns a kept departure to the node that it belongs to and pulls newer state at once,
+// HandleHello implements link.Handler. It returns a kept departure to the node that it belongs to and pulls newer state at once,
 // so that a node that has just started recovers from its peers.
 func (n *Node) HandleHello(b []byte, reply func([]byte)) {
 	var hello helloMessage
@@ -66,7 +66,7 @@
 	return v
 }
 
-// Heard implements link.Handler.
+// HandleStatus implements link.Handler.
 func (n *Node) HandleStatus(b []byte, reply func([]byte)) {
 	var theirs versions
 	if err := decode(b, &theirs); err != nil {
@@ -101,7 +101,7 @@
 	return now.Sub(*since) >= grace
 }
 
-// Notice implements link.Handler.
+// HandleNotice implements link.Handler.
 func (n *Node) HandleNotice(b []byte, reply func([]byte)) {
 	var m gossipMessage
 	if err := decode(b, &m); err != nil {
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -52,7 +52,7 @@
 	// maxWorkers limits the calls in flight to the own backend server, and maxQueuedRuns the calls that wait for a worker.
 	maxWorkers    = 4096
 	maxQueuedRuns = 4096
-	// removalChecks is the number of checks for unreachable nodes within Options.ForgetAfter.
+	// removalChecks is the number of checks for unreachable nodes within Options.RemoveUnreachableAfter.
 	removalChecks = 10
 	// abortTimeout limits how long Abort waits for goroutines to stop.
 	abortTimeout = time.Second
@@ -74,7 +74,8 @@
 	Log      *event.Log
 	// Seed is the seed of the node's random choices; zero selects a random seed.
 	Seed uint64
-	// ForgetAfter is how long a node of the own region must be unreachable before its row is removed. The default is 10 minutes.
+	// RemoveUnreachableAfter is how long a node of the own region must be unreachable before its row is removed. The default
+	// is 10 minutes.
 	RemoveUnreachableAfter time.Duration
 }
 
@@ -334,7 +335,7 @@
 // Wait blocks until the node has failed or was stopped.
 func (n *Node) Wait() error { return n.group.Wait() }
 
-// Known returns the number of nodes in the directory, including this one.
+// NodeCount returns the number of nodes in the directory, including this one.
 func (n *Node) NodeCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/mesh/sync.go
+++ b/mesh/sync.go
@@ -191,7 +191,7 @@
 	}
 }
 
-// recover waits until the node knows whether its backend server was leaving before the node started. It learns this
+// awaitRecovery waits until the node knows whether its backend server was leaving before the node started. It learns this
 // from the store or, while the store is unavailable, from the nodes that connect to it.
 func (n *Node) awaitRecovery(ctx context.Context) error {
 	for {
--- a/pressure/shares.go
+++ b/pressure/shares.go
@@ -60,8 +60,8 @@
 	return base
 }
 
-// Refused counts a request of the class that was shed anywhere in the call graph. A class is contended while its requests are
-// refused; otherwise no request is marked as excess.
+// RecordRefusal counts a request of the class that was shed anywhere in the call graph. A class is contended while its
+// requests are refused; otherwise no request is marked as excess.
 func (s *Shares) RecordRefusal(now time.Time, name string) { s.class(now, name).refused++ }
 
 func (s *Shares) class(now time.Time, name string) *class {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// CrashBound is the number of backend servers that one request may crash before it is refused.
+	// MaxCrashes is the number of backend servers that one request may crash before it is refused.
 	MaxCrashes = 2
 	// Period is the duration of a quarantine, from the last crash or the last refused send.
 	Period = 10 * time.Minute
@@ -126,7 +126,7 @@
 	return true
 }
 
-// Crashes returns the number of uncleared crashes of a digest. It is below CrashBound unless the digest is quarantined.
+// Crashes returns the number of uncleared crashes of a digest. It is below MaxCrashes unless the digest is quarantined.
 func (t *Table) Crashes(now time.Time, digest uint64) int {
 	e := t.lookup(now, digest)
 	switch {
@@ -143,7 +143,7 @@
 func (t *Table) Len() int { return len(t.entries) }
 
 // makeRoom ensures that another crash can be stored, if necessary by removing a cleared one. It returns false when all stored
-// crashes are uncleared: the digest then has reached CrashBound without another crash.
+// crashes are uncleared: the digest then has reached MaxCrashes without another crash.
 func (e *entry) makeRoom() bool {
 	if len(e.crashes) < maxCrashesPerDigest {
 		return true
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1e6, 0)
 
-// Guards against a request that is not refused after CrashBound crashes, or is refused for longer or shorter than its
+// Guards against a request that is not refused after MaxCrashes crashes, or is refused for longer or shorter than its
 // quarantine.
 func TestSecondCrashQuarantines(t *testing.T) {
 	var table quarantine.Table
--- a/retry/account.go
+++ b/retry/account.go
@@ -1,24 +1,25 @@
 package retry
 
 const (
-	// Bound is the maximum number of retries of one send of a request over its whole call chain.
+	// MaxRetriesPerSend is the maximum number of retries of one send of a request over its whole call chain.
 	MaxRetriesPerSend = 3
-	// RequestBound is the maximum number of retries of a request over its whole call chain, including resends by the caller.
+	// MaxRetriesPerRequest is the maximum number of retries of a request over its whole call chain, including resends by the
+	// caller.
 	MaxRetriesPerRequest = 6
 )
 
-// Account is the retry budget of one call. Its zero value allows no retries. The caller serializes access to it.
+// Budget is the retry budget of one call. Its zero value allows no retries. The caller serializes access to it.
 type Budget struct {
 	remaining int
 }
 
-// NewAccount returns an account that allows n retries.
+// NewBudget returns a budget that allows n retries.
 func NewBudget(n int) Budget { return Budget{remaining: max(n, 0)} }
 
-// Left returns the number of retries that remain.
+// Remaining returns the number of retries that remain.
 func (b *Budget) Remaining() int { return b.remaining }
 
-// Take withdraws one retry and reports whether one remained.
+// Withdraw withdraws one retry and reports whether one remained.
 func (b *Budget) Withdraw() bool {
 	if b.remaining == 0 {
 		return false
@@ -42,7 +43,7 @@
 	}
 }
 
-// ForResend returns the account of the n-th resend (0 is the first send), and false when the request has exhausted its
+// BudgetForResend returns the budget of the n-th resend (0 is the first send), and false when the request has exhausted its
 // resends.
 func BudgetForResend(n int) (Budget, bool) {
 	switch n {
--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -23,7 +23,7 @@
 	given  int
 }
 
-// serve serves a call with an account. It starts all inner calls at once and retries each while the account allows it. Their
+// serve serves a call with a budget. It starts all inner calls at once and retries each while the budget allows it. Their
 // answers state the unused retries, are lost, or state more than the share.
 func (c *callTree) serve(budget *retry.Budget, depth int) {
 	c.calls++
@@ -79,8 +79,8 @@
 	})
 }
 
-// Guards against an account that loses retries although all answers arrive, that exceeds Bound because of a header, or that
-// refunds more than a share.
+// Guards against a budget that loses retries although all answers arrive, that exceeds MaxRetriesPerSend because of a header,
+// or that refunds more than a share.
 func TestBudgetSplitsAndRefunds(t *testing.T) {
 	budget := retry.NewBudget(3)
 	first, second := budget.Share(), budget.Share()
--- a/retry/hedges.go
+++ b/retry/hedges.go
@@ -8,14 +8,14 @@
 	halvingThreshold = 1000
 )
 
-// Hedges bounds the hedged requests of a node to a share of its recent calls. Its zero value is ready to use. The caller
+// HedgeBudget bounds the hedged requests of a node to a share of its recent calls. Its zero value is ready to use. The caller
 // serializes access to it.
 type HedgeBudget struct {
 	calls  int
 	hedges int
 }
 
-// Called counts a call that may be hedged.
+// CountCall counts a call that may be hedged.
 func (h *HedgeBudget) CountCall() {
 	h.calls++
 	if h.calls >= halvingThreshold {
@@ -24,7 +24,7 @@
 	}
 }
 
-// Take reports whether the share allows one more hedge, and counts it if so.
+// Withdraw reports whether the share allows one more hedge, and counts it if so.
 func (h *HedgeBudget) Withdraw() bool {
 	if (h.hedges+1)*callsPerHedge > h.calls {
 		return false
--- a/retry/hedges_test.go
+++ b/retry/hedges_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against hedges beyond 5% of the calls, and against a burst of more than 50 hedges that old calls allow.
-// Mutation: callsPerHedge = 19; Called without the halving.
+// Mutation: callsPerHedge = 19; CountCall without the halving.
 func TestHedgesAreAShareOfRecentCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h retry.HedgeBudget
@@ -32,7 +32,7 @@
 }
 
 // Guards against hedges that are always denied, which would disable hedging.
-// Mutation: Take always false.
+// Mutation: Withdraw always false.
 func TestHedgesReachTheirShare(t *testing.T) {
 	var h retry.HedgeBudget
 	require.False(t, h.Withdraw())
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -5,14 +5,14 @@
 // MaxRetriesPerHop is the maximum number of retries of each call under the "per-hop" policy.
 const MaxRetriesPerHop = 3
 
-// Policy allocates the retry budget of each call of a chain. The caller serializes access to the accounts.
+// Policy allocates the retry budget of each call of a chain. The caller serializes access to the budgets.
 type Policy interface {
-	// Entry returns the account of the n-th resend of a request by its caller (0 is the first send), and false when the
+	// Entry returns the budget of the n-th resend of a request by its caller (0 is the first send), and false when the
 	// resend must be refused.
 	Entry(n int) (Budget, bool)
-	// Received returns the account of a call that arrived from another node with this allowance.
+	// Received returns the budget of a call that arrived from another node with this allowance.
 	Received(allowance int) Budget
-	// Outgoing returns the account from which the retries of one outgoing call of the parent are withdrawn.
+	// Outgoing returns the budget from which the retries of one outgoing call of the parent are withdrawn.
 	Outgoing(parent *Budget) *Budget
 	// Share withdraws the allowance that is sent with one attempt of an outgoing call, and returns it.
 	Share(b *Budget) int
@@ -23,7 +23,7 @@
 // Policies is the registry of retry policies by name.
 var Policies kernel.Registry[Policy]
 
-// DefaultPolicy is the name of the policy that keeps requests within Bound and RequestBound.
+// DefaultPolicy is the name of the policy that keeps requests within MaxRetriesPerSend and MaxRetriesPerRequest.
 const DefaultPolicy = "shared"
 
 func init() {
@@ -31,7 +31,7 @@
 	Policies.Register("per-hop", perHop{})
 }
 
-// shared divides one account among all calls of the chain.
+// shared divides one budget among all calls of the chain.
 type shared struct{}
 
 func (shared) Entry(n int) (Budget, bool)          { return BudgetForResend(n) }
--- a/retry/requests.go
+++ b/retry/requests.go
@@ -33,7 +33,7 @@
 	Stated int
 }
 
-// Requests detects resends at the entry node. Its zero value is empty. The caller serializes access to it.
+// ResendDetector detects resends at the entry node. Its zero value is empty. The caller serializes access to it.
 type ResendDetector struct {
 	byID     ttlMap[sendKey, int]
 	byDigest ttlMap[sendKey, failuresByResend]
@@ -87,13 +87,13 @@
 	return k
 }
 
-// Inner detects inner calls that the backend server of one parent call repeats on its own. Its zero value is empty. The
+// RepeatDetector detects inner calls that the backend server of one parent call repeats on its own. Its zero value is empty. The
 // caller serializes access to it.
 type RepeatDetector struct{ digests kernel.Set[uint64] }
 
-// Repeats records an inner call with this digest of method, target and body. It reports whether the call counts as a retry,
-// which must be withdrawn from the parent's account with Take. Every new call beyond MaxInner different ones counts as a
-// retry, so that retries stay bounded.
+// IsRepeat records an inner call with this digest of method, target and body. It reports whether the call counts as a retry,
+// which must be withdrawn from the parent's budget with Budget.Withdraw. Every new call beyond MaxInner different ones counts
+// as a retry, so that retries stay bounded.
 func (d *RepeatDetector) IsRepeat(digest uint64) bool {
 	if d.digests.Has(digest) || len(d.digests) >= MaxInner {
 		return true
--- a/retry/requests_test.go
+++ b/retry/requests_test.go
@@ -86,7 +86,7 @@
 	require.Equal(t, 1, requests.Begin(start, retry.Send{Caller: "11", Digest: 1}))
 }
 
-// Guards against a backend server that repeats inner calls without a withdrawal from its parent's account.
+// Guards against a backend server that repeats inner calls without a withdrawal from its parent's budget.
 func TestRepeatDetectorRecognisesRepeats(t *testing.T) {
 	var detector retry.RepeatDetector
 	require.False(t, detector.IsRepeat(1))
--- a/retry/window.go
+++ b/retry/window.go
@@ -16,7 +16,7 @@
 	maxWindowServices = 1024
 )
 
-// Windows bounds the repeats that all nodes together send to each service in a sliding window. The nodes do not coordinate:
+// WindowBudgets bounds the repeats that all nodes together send to each service in a sliding window. The nodes do not coordinate:
 // every node uses the part that its own requests allow, and its part of the fixed allowance. The caller serializes access to
 // it. Its zero value allows no repeats.
 type WindowBudgets struct {
@@ -37,15 +37,15 @@
 	repeats     [windowBuckets]float64
 }
 
-// Requested counts a request for a service.
+// CountRequest counts a request for a service.
 func (w *WindowBudgets) CountRequest(now time.Time, service string) {
 	if s := w.advance(now, service); s != nil {
 		s.requests[s.bucket]++
 	}
 }
 
-// Take reports whether the budget allows a repeat, and counts it if so. The cost is the number of calls that the repeat causes
-// at the service, and nodes is the number of nodes that share the fixed allowance.
+// Withdraw reports whether the budget allows a repeat, and counts it if so. The cost is the number of calls that the repeat
+// causes at the service, and nodes is the number of nodes that share the fixed allowance.
 func (w *WindowBudgets) Withdraw(now time.Time, service string, cost float64, nodes int) bool {
 	s := w.advance(now, service)
 	if s == nil {
--- a/rollout/adopter.go
+++ b/rollout/adopter.go
@@ -31,13 +31,13 @@
 // InForce returns the version in force, or 0 for none.
 func (a *Adopter) InForce() uint64 { return a.inForce }
 
-// Held returns the highest version whose text the node has, or 0 for none.
+// LocalVersion returns the highest version whose text the node has, or 0 for none.
 func (a *Adopter) LocalVersion() uint64 { return a.localVersion }
 
-// Wanted reports whether a version is higher than the highest version whose text the node has.
+// IsNewer reports whether a version is higher than the highest version whose text the node has.
 func (a *Adopter) IsNewer(version uint64) bool { return version > a.localVersion }
 
-// Heard returns the highest version known from this node, the store and the current peers.
+// HighestKnown returns the highest version known from this node, the store and the current peers.
 func (a *Adopter) HighestKnown() uint64 {
 	highest := max(a.localVersion, a.storeVersion.Or(0))
 	for _, version := range a.peerVersions {
@@ -46,7 +46,7 @@
 	return highest
 }
 
-// Hold records that the node has the text of a version, and reports whether the version is higher than before.
+// SetLocalVersion records that the node has the text of a version, and reports whether the version is higher than before.
 func (a *Adopter) SetLocalVersion(now time.Time, version uint64) bool {
 	if version <= a.localVersion {
 		return false
@@ -55,12 +55,12 @@
 	return true
 }
 
-// StoreSays records the version that is accepted in the store, 0 for none.
+// SetStoreVersion records the version that is accepted in the store, 0 for none.
 func (a *Adopter) SetStoreVersion(version uint64) {
 	a.storeVersion = kernel.Some(max(version, a.storeVersion.Or(0)))
 }
 
-// PeerSays records the highest version whose text a peer has, 0 for none.
+// SetPeerVersion records the highest version whose text a peer has, 0 for none.
 func (a *Adopter) SetPeerVersion(id string, version uint64) {
 	if a.peerVersions == nil {
 		a.peerVersions = map[string]uint64{}
@@ -68,18 +68,19 @@
 	a.peerVersions[id] = max(a.peerVersions[id], version)
 }
 
-// Forget drops the versions of former members, so that a version that only they had does not prevent a node from starting.
+// RetainPeers drops the versions of peers that are no longer members, so that a version that only they had does not prevent a
+// node from starting.
 func (a *Adopter) RetainPeers(isMember func(id string) bool) {
 	maps.DeleteFunc(a.peerVersions, func(id string, _ uint64) bool { return !isMember(id) })
 }
 
-// Answered reports whether a peer has reported its version.
+// HasPeerVersion reports whether a peer has reported its version.
 func (a *Adopter) HasPeerVersion(id string) bool {
 	_, ok := a.peerVersions[id]
 	return ok
 }
 
-// PeerHolds returns the highest version that a peer has reported, or 0 for none.
+// PeerVersion returns the highest version that a peer has reported, or 0 for none.
 func (a *Adopter) PeerVersion(id string) uint64 { return a.peerVersions[id] }
 
 // Adopt puts the local version in force if that is safe, and returns it. The region lists the other members of the own
--- a/rollout/apply.go
+++ b/rollout/apply.go
@@ -72,7 +72,7 @@
 	return readAccepted(ctx, store, tablestore.CurrentKey)
 }
 
-// Version returns a configuration from the history, and false if that version was never accepted.
+// AcceptedVersion returns a configuration from the history, and false if that version was never accepted.
 func AcceptedVersion(ctx context.Context, store tablestore.Store, version uint64) (Accepted, bool, error) {
 	return readAccepted(ctx, store, versionKey(version))
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -118,7 +118,7 @@
 // Routes returns all routes. The caller must not modify the result.
 func (c *Config) Routes() []*Route { return c.routes }
 
-// LeastRank returns the rank of the least important routes, which is the highest number.
+// LeastImportantRank returns the rank of the least important routes, which is the highest number.
 func (c *Config) LeastImportantRank() int { return c.leastImportantRank }
 
 // Service returns a service by name.
--- a/routing/split.go
+++ b/routing/split.go
@@ -9,8 +9,8 @@
 // maxSplits bounds the number of routes whose round robin state is stored.
 const maxSplits = 4096
 
-// Splits distributes the requests of split routes by weight. Its zero value is ready to use. The caller serializes access to
-// it.
+// TrafficSplitter distributes the requests of split routes by weight. Its zero value is ready to use. The caller serializes
+// access to it.
 //
 // Each route uses smooth weighted round robin, because random choice deviates from the weights over few requests.
 type TrafficSplitter struct {
--- a/setting/document.go
+++ b/setting/document.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// MaxText is the maximum size of a file in bytes.
+	// MaxFileBytes is the maximum size of a file in bytes.
 	MaxFileBytes = 256 << 10
 	// maxNameLength is the maximum length of a host name label (RFC 1035), since names can be part of host names.
 	maxNameLength = 63
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// Variable is the environment variable that can contain the text of the settings, since instances have no disks.
+	// EnvironmentVariable names the environment variable that can contain the text of the settings, since instances have no
+	// disks.
 	EnvironmentVariable = "LOVAGELANE_SETTINGS"
 	// DefaultAdminListen is the default of Node.AdminListen.
 	DefaultAdminListen = "127.0.0.1:7004"
@@ -61,7 +62,7 @@
 	Limiter, Policy, Retries string
 }
 
-// Load reads a node's settings from an INI file, or from the environment variable Variable if path is empty. Its errors
+// Load reads a node's settings from an INI file, or from the variable EnvironmentVariable if path is empty. Its errors
 // contain the file, the line and the remedy.
 func Load(path string) (Node, error) {
 	if path == "" {
--- a/slots/caps.go
+++ b/slots/caps.go
@@ -47,7 +47,7 @@
 }
 
 // Admit reports whether one more call of a route may run and, if so, counts it as running. The generation must be passed to
-// Ended.
+// Finish.
 func (c *Caps) Admit(route string, slots int) (generation int, ok bool) {
 	if c.routes == nil {
 		c.routes = kernel.NewLRU[string, routeCap](maxRoutes)
@@ -64,14 +64,14 @@
 	return r.decreases, true
 }
 
-// Cancelled reverts an admission whose call did not run or ended without a meaningful outcome.
+// Cancel reverts an admission whose call did not run or ended without a meaningful outcome.
 func (c *Caps) Cancel(route string) {
 	if r := c.find(route); r != nil && r.running > 0 {
 		r.running--
 	}
 }
 
-// Ended records a finished run and adjusts the cap after each window. late is set if the run failed after most of its time
+// Finish records a finished run and adjusts the cap after each window. late is set if the run failed after most of its time
 // had passed.
 func (c *Caps) Finish(route string, generation, slots int, late bool) {
 	r := c.find(route)
--- a/slots/queue.go
+++ b/slots/queue.go
@@ -20,7 +20,7 @@
 	ID uint64
 	// Rank is the priority class; rank 0 starts first.
 	Rank int
-	// Latest is the time at which the call expires if it has not started.
+	// LatestStart is the time at which the call expires if it has not started.
 	LatestStart time.Time
 }
 
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// Ran returns the counts of the calls started so far.
+// StartCounts returns the counts of the calls started so far.
 func (b *BackendServer) StartCounts() StartCounts { return b.starts.snapshot() }
 
 // InFlight returns the number of running and waiting calls.
--- a/standin/ran.go
+++ b/standin/ran.go
@@ -17,7 +17,7 @@
 	Order   string `json:"order,omitempty"`
 }
 
-// Ran counts the starts of calls. A call for an order must start at most once.
+// StartCounts counts the starts of calls. A call for an order must start at most once.
 type StartCounts struct {
 	// Requests counts starts by path and request id; a key is "/orders r17".
 	Requests map[string]int `json:"requests"`
@@ -27,7 +27,7 @@
 	Paths map[string]int `json:"paths"`
 }
 
-// Start is a line of the journal: the start of one call.
+// JournalEntry is a line of the journal: the start of one call.
 type JournalEntry struct {
 	Identity
 	Method string `json:"method"`
--- a/standin/result.go
+++ b/standin/result.go
@@ -82,7 +82,7 @@
 	return time.Duration(k.latencies.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Share returns the fraction of the sent requests that were answered, or 0 if none was sent.
+// AnsweredShare returns the fraction of the sent requests that were answered, or 0 if none was sent.
 func (k *KindResults) AnsweredShare() float64 {
 	if k.Sent == 0 {
 		return 0
--- a/testbed/bed.go
+++ b/testbed/bed.go
@@ -34,7 +34,7 @@
 	SharedBackends bool
 }
 
-// Bed is a deployment of real processes.
+// Deployment is a running deployment of real processes.
 type Deployment struct {
 	opt   Options
 	group *kernel.Group
@@ -181,7 +181,7 @@
 	return b.start(name, "lovagelane", "node", "--settings", settings)
 }
 
-// Of returns the places of a service.
+// PlacesOf returns the places of a service.
 func (b *Deployment) PlacesOf(service string) []*Place {
 	var all []*Place
 	for _, p := range b.Places {
@@ -192,7 +192,7 @@
 	return all
 }
 
-// Callers returns the addresses of the nodes' listeners for outside callers.
+// CallerAddresses returns the addresses of the nodes' listeners for outside callers.
 func (b *Deployment) CallerAddresses() []string {
 	var all []string
 	for _, p := range b.Places {
@@ -221,7 +221,7 @@
 	return string(out), nil
 }
 
-// Up waits until the backend servers are healthy and the nodes respond. It does not require a configuration in force.
+// WaitHealthy waits until the backend servers are healthy and the nodes respond. It does not require a configuration in force.
 func (b *Deployment) WaitHealthy(ctx context.Context) error {
 	for _, p := range b.Places {
 		if err := PollUntil(ctx, "backend server of "+p.Service, p.checkHealthy); err != nil {
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// Ready waits until on each node the configuration version is in force and all other nodes are listed as serving.
+// WaitReady waits until on each node the configuration version is in force and all other nodes are listed as serving.
 func (b *Deployment) WaitReady(ctx context.Context, version uint64) error {
 	for _, p := range b.Places {
 		err := PollUntil(ctx, "node of "+p.Service, func(ctx context.Context) error {
@@ -303,7 +303,7 @@
 	return exchangeJSON(ctx, "POST", "http://"+p.BackendAddress+"/standin/faults", f, nil)
 }
 
-// Ran returns the counts of the calls that the backend server has started.
+// StartCounts returns the counts of the calls that the backend server has started.
 func (p *Place) StartCounts(ctx context.Context) (standin.StartCounts, error) {
 	var r standin.StartCounts
 	err := exchangeJSON(ctx, "GET", "http://"+p.BackendAddress+"/standin/ran", nil, &r)
@@ -329,7 +329,7 @@
 	return m, err
 }
 
-// Ended is the result of stopping a deployment.
+// StopResult is the result of stopping a deployment.
 type StopResult struct {
 	// Processes is the number of processes that were started.
 	Processes int
--- a/testbed/config.go
+++ b/testbed/config.go
@@ -15,7 +15,7 @@
 	Slots, Connections int
 	Timeout            time.Duration
 	Calls              []string
-	// Backend holds additional flags of the stand-in backend servers, such as --service-time=10ms.
+	// BackendFlags holds additional flags of the stand-in backend servers, such as --service-time=10ms.
 	BackendFlags []string
 }
 
--- a/testbed/http.go
+++ b/testbed/http.go
@@ -57,7 +57,7 @@
 	return "process " + e.process + " has exited, see " + e.log
 }
 
-// Until polls f until it returns nil. It returns the last error of f if ctx is done first or a process has exited.
+// PollUntil polls f until it returns nil. It returns the last error of f if ctx is done first or a process has exited.
 func PollUntil(ctx context.Context, what string, f func(context.Context) error) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/ticket/attempts.go
+++ b/ticket/attempts.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Receive records an attempt and decides on it: Run at its first arrival, Join or Kept at a later arrival while its record
+// Receive records an attempt and decides on it: Run at its first arrival, Join or Replay at a later arrival while its record
 // exists, and Refuse otherwise.
 func (t *Attempts) Receive(now time.Time, a call.Attempt) Decision {
 	s, r, decision := t.lookUp(now, a)
@@ -115,7 +115,7 @@
 	}
 }
 
-// Arrive records an attempt and returns the reason for refusing it, or ReasonNone when it may run. The outcome of an attempt
+// Admit records an attempt and returns the reason for refusing it, or ReasonNone when it may run. The outcome of an attempt
 // refused with ReasonAttemptRepeated or ReasonOtherIncarnation is unknown; any other refused attempt did not run and never
 // will.
 func (t *Attempts) Admit(now time.Time, a call.Attempt) call.Reason {
@@ -132,7 +132,7 @@
 	return ReasonAttemptRepeated
 }
 
-// Finish records the end and the answer of an attempt that Receive or Arrive accepted.
+// Finish records the end and the answer of an attempt that Receive or Admit accepted.
 func (t *Attempts) Finish(now time.Time, a call.Attempt, answer Answer) {
 	if s, ok := t.senders[a.Sender]; ok && a.Receiver == t.receiver {
 		if r, ok := t.attempts[attemptKey{s, a.Seq}]; ok && r.endedElement == nil {
--- a/ticket/owner.go
+++ b/ticket/owner.go
@@ -27,7 +27,7 @@
 	Reason    call.Reason  `cbor:"6,keyasint"`
 }
 
-// Verdict is the decision on a ticketed request or on an attempt: Run, Join, Kept or Refuse.
+// Decision states how to handle a ticketed request or an attempt: Run, Join, Replay or Refuse.
 type Decision interface{ decision() }
 
 // Run means that the request starts now and may use Allowance retries.
@@ -36,7 +36,7 @@
 // Join means that the request is running: the caller waits for its end and then asks for another decision.
 type Join struct{}
 
-// Kept means that the request has ended and holds its stored answer, whose body must not be modified.
+// Replay means that the request has ended and that the caller gets its stored answer, whose body must not be modified.
 type Replay struct{ Answer Answer }
 
 // Refuse means that the request is not started.
@@ -72,7 +72,7 @@
 	stored        storedAnswer
 }
 
-// Owner is the table of requests by ticket on the node that issued the tickets. The caller serializes access to it.
+// OwnerTable is the table of requests by ticket on the node that issued the tickets. The caller serializes access to it.
 type OwnerTable struct {
 	id    string
 	start time.Time
@@ -86,7 +86,7 @@
 	bodies     bodyBudget
 }
 
-// NewOwner returns an empty table for the incarnation with the member id owner. The start time must equal that of NewIssuer.
+// NewOwnerTable returns an empty table for the incarnation with the member id owner. The start time must equal that of NewIssuer.
 func NewOwnerTable(owner string, start time.Time) *OwnerTable {
 	return &OwnerTable{id: owner, start: start, maxTickets: MaxTickets, requests: map[uint64]*request{}, lastPruned: start}
 }
@@ -96,7 +96,7 @@
 	return o.decide(now, t, service, digest, 1)
 }
 
-// Again decides on a request for which the decision was Join, after that run has ended. It does not count a resend.
+// DecideAfterJoin decides on a request for which the decision was Join, after that run has ended. It does not count a resend.
 func (o *OwnerTable) DecideAfterJoin(now time.Time, t Ticket, service string, digest uint64) Decision {
 	return o.decide(now, t, service, digest, 0)
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -124,7 +124,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.lastSeq++
-	// The issue time never decreases, even when the clock jumps back: Owner.watermark requires that tickets expire in the
+	// The issue time never decreases, even when the clock jumps back: OwnerTable.watermark requires that tickets expire in the
 	// order of their numbers.
 	i.lastIssuedMS = max(i.lastIssuedMS, sinceMS(i.start, now))
 	return Ticket{Owner: i.owner, Address: i.address, Seq: i.lastSeq, IssuedMS: i.lastIssuedMS, Service: service}
