--- a/balance/chooser.go
+++ b/balance/chooser.go
@@ -36,7 +36,7 @@
 // Chosen names the backend server to send the call to.
 type Chosen struct {
 	ID string
-	// Probe marks a call that tests whether an avoided backend server has recovered.
+	// Probe marks a call that tests whether an ejected backend server has recovered.
 	Probe bool
 	// CrossRegion marks a call that leaves the region.
 	CrossRegion bool
@@ -171,7 +171,7 @@
 func (c *Chooser) Ejected() []string {
 	var ids []string
 	for id, p := range c.peers {
-		if p.avoided {
+		if p.ejected {
 			ids = append(ids, id)
 		}
 	}
--- a/balance/chooser_test.go
+++ b/balance/chooser_test.go
@@ -107,9 +107,9 @@
 	require.Equal(t, balance.Chosen{ID: "a"}, d.c.Choose(d.now, balance.Query{Priority: bulk}))
 }
 
-// Guards against a dead backend server that still receives calls, is never probed, or stays avoided after it has recovered.
+// Guards against a dead backend server that still receives calls, is never probed, or stays ejected after it has recovered.
 // Mutation: finish without the case of DialFailed; startProbe without the doubling.
-func TestDialFailureAvoidsAndProbes(t *testing.T) {
+func TestDialFailureEjectsAndProbes(t *testing.T) {
 	d := newDriver(t, candidate("a", "rn", "rn-1"), candidate("b", "rn", "rn-1"))
 	d.warmUp("a", "b")
 	failed := balance.Result{DialFailed: true, Outcome: call.OutcomeNotRun}
@@ -136,9 +136,9 @@
 }
 
 // Guards against a stalled backend server that is detected only when its calls end, and against a straggler that causes
-// avoidance of a backend server whose other calls are answered.
+// ejection of a backend server whose other calls are answered.
 // Mutation: available without oldestUnovertaken; finish without p.oldestUnovertaken = f.
-func TestStallAvoidsButStragglerDoesNot(t *testing.T) {
+func TestStallEjectsButStragglerDoesNot(t *testing.T) {
 	d := newDriver(t, candidate("a", "rn", "rn-1"), candidate("b", "rn", "rn-1"))
 	d.warmUp("a", "b")
 	d.c.Started(d.now, "a", 1<<32)
@@ -207,7 +207,7 @@
 
 // Guards against None while a candidate is left that neither refuses the priority nor is excluded, and against the choice of
 // a candidate that does or is.
-// Mutation: lastResort returning None when the best one is avoided.
+// Mutation: lastResort returning None when the best one is ejected.
 func TestNoneOnlyWhenAllCandidatesAreExcludedOrRefuse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var candidates []balance.Candidate
@@ -298,7 +298,7 @@
 }
 
 // Guards against a backend server that refuses at once and attracts calls because it looks idle and fast.
-// Mutation: finish without the avoidance by refusals.
+// Mutation: finish without the ejection by refusals.
 func TestFastRefusalsDoNotAttractCalls(t *testing.T) {
 	for _, rate := range []float64{100, 5000} {
 		servers := sixServers()
--- a/balance/peer.go
+++ b/balance/peer.go
@@ -13,7 +13,7 @@
 	// minSlowLatency is the lower bound of that latency, and defaultSlowLatency replaces it while no p95 is known.
 	minSlowLatency     = 10 * time.Millisecond
 	defaultSlowLatency = time.Second
-	// initialBackoff and maxBackoff bound the time between probes of an avoided backend server.
+	// initialBackoff and maxBackoff bound the time between probes of an ejected backend server.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 5 * time.Second
 	// initialInFlightCap bounds the calls in flight to a new candidate. Its slow start ends when the cap reaches
@@ -31,7 +31,7 @@
 	// refusalPenalty is the weight of the share of refusals in the score. Without it, fast refusals would look like low
 	// latency.
 	refusalPenalty = 20
-	// maxRefusalShare is the share of refusals above which a backend server is avoided. Without this bound, an idle backend
+	// maxRefusalShare is the share of refusals above which a backend server is ejected. Without this bound, an idle backend
 	// server that refuses at once attracts a third of the calls from busy ones that work.
 	maxRefusalShare = 0.6
 	// refusalSmoothing is the weight of one answer in the moving average of the share of refusals.
@@ -70,8 +70,8 @@
 	refusalShare   float64
 	refusalShareAt time.Time
 
-	avoided   bool
-	avoidedAt time.Time
+	ejected   bool
+	ejectedAt time.Time
 	backoff   time.Duration
 	probeAt   time.Time
 
@@ -146,13 +146,13 @@
 			p.growCap()
 		}
 		// A probe must be as fast as the tier's p95, since an occasional call to a slowed backend server takes less than slow.
-		if p.avoided && res.Latency <= slow/slowFactor && !startedAt.Before(p.avoidedAt) {
+		if p.ejected && res.Latency <= slow/slowFactor && !startedAt.Before(p.ejectedAt) {
 			p.readmit(res.Latency)
 		} else if !quick && !overtaken {
-			p.avoid(now)
+			p.eject(now)
 		}
 	case res.DialFailed:
-		p.avoid(now)
+		p.eject(now)
 	case !res.Answered && res.Reason == call.ReasonCancelled:
 		// The caller cancelled the call, so its latency is a lower bound.
 		if res.Latency.Seconds() > p.latency {
@@ -160,12 +160,12 @@
 		}
 	case !res.Answered || isUnavailable(res.Reason):
 		p.recordRefusal(now, 1)
-		p.avoid(now)
+		p.eject(now)
 	case isRefusal(res.Reason):
 		p.recordRefusal(now, 1)
 		// An admission level sheds only some priorities, and refuses already excludes the peer for those.
 		if res.Reason != call.ReasonShed && p.refusalShare > maxRefusalShare {
-			p.avoid(now)
+			p.eject(now)
 		}
 	}
 }
@@ -227,39 +227,39 @@
 	}
 }
 
-func (p *peer) avoid(now time.Time) {
-	if p.avoided && now.Before(p.probeAt) {
+func (p *peer) eject(now time.Time) {
+	if p.ejected && now.Before(p.probeAt) {
 		return
 	}
-	p.avoided, p.avoidedAt = true, now
+	p.ejected, p.ejectedAt = true, now
 	p.backoff = min(maxBackoff, max(initialBackoff, 2*p.backoff))
 	p.probeAt = now.Add(p.backoff)
 }
 
-// readmit ends the avoidance and discards the earlier observations. Slow start bounds the damage if the backend server has
+// readmit ends the ejection and discards the earlier observations. Slow start bounds the damage if the backend server has
 // not recovered.
 func (p *peer) readmit(latency time.Duration) {
-	p.avoided, p.backoff = false, 0
+	p.ejected, p.backoff = false, 0
 	p.latency, p.refusalShare = latency.Seconds(), 0
 	p.cap, p.goodSinceCap = initialInFlightCap, 0
 }
 
-// available starts avoiding a peer whose oldest unovertaken call exceeds slow, and reports whether the peer may be chosen.
+// available ejects a peer whose oldest unovertaken call exceeds slow, and reports whether the peer may be chosen.
 func (p *peer) available(now time.Time, slow time.Duration) bool {
-	if !p.avoided && p.oldestUnovertaken != nil && now.Sub(p.oldestUnovertaken.started) > slow {
-		p.avoid(now)
+	if !p.ejected && p.oldestUnovertaken != nil && now.Sub(p.oldestUnovertaken.started) > slow {
+		p.eject(now)
 	}
-	return !p.avoided
+	return !p.ejected
 }
 
-// probeDue reports whether an avoided peer may receive a probe.
-func (p *peer) probeDue(now time.Time) bool { return p.avoided && !now.Before(p.probeAt) }
+// probeDue reports whether an ejected peer may receive a probe.
+func (p *peer) probeDue(now time.Time) bool { return p.ejected && !now.Before(p.probeAt) }
 
 // startProbe records that a probe was chosen and doubles the backoff until the next one.
 func (p *peer) startProbe(now time.Time) {
 	p.backoff = min(maxBackoff, max(initialBackoff, 2*p.backoff))
 	p.probeAt = now.Add(p.backoff)
-	p.avoidedAt = now
+	p.ejectedAt = now
 }
 
 // refuses reports whether the admission level that the peer reported within reportTTL excludes the priority.
--- a/balance/policy.go
+++ b/balance/policy.go
@@ -44,7 +44,7 @@
 	return c.lastResort(now, q)
 }
 
-// sample returns the best of sampleSize random candidates of a tier, or an avoided one whose probe is due, or nil when no
+// sample returns the best of sampleSize random candidates of a tier, or an ejected one whose probe is due, or nil when no
 // candidate is available. It also returns the candidate with the fewest calls in flight among those at their slow start cap.
 func (c *Chooser) sample(now time.Time, q Query, tier int) (best, slowStarting *peer) {
 	peers, slow, typical := c.tiers[tier], c.slowLatency(tier), c.typicalLatency(tier)
@@ -94,7 +94,7 @@
 	return Chosen{ID: p.candidate.ID, Probe: due, CrossRegion: p.tier == otherRegionsTier}
 }
 
-// lastResort chooses among all candidates that are not excluded: suspected ones before avoided ones, then by tier, then by
+// lastResort chooses among all candidates that are not excluded: suspected ones before ejected ones, then by tier, then by
 // score. It never chooses a candidate that refuses the priority.
 func (c *Chooser) lastResort(now time.Time, q Query) Choice {
 	var best *peer
--- a/directory/tracker_test.go
+++ b/directory/tracker_test.go
@@ -20,12 +20,12 @@
 		want     directory.Transition
 	}
 	for name, steps := range map[string][]announcement{
-		"first announcement":     {{start(1), 1, false, directory.BecameServing}, {start(1), 2, false, directory.NoTransition}},
-		"ready after leaving":    {{start(1), 1, false, directory.BecameServing}, {start(1), 3, true, directory.BecameLeaving}, {start(1), 2, false, directory.NoTransition}, {start(1), 4, false, directory.NoTransition}},
-		"old incarnation":        {{start(2), 1, false, directory.BecameServing}, {start(1), 9, false, directory.NoTransition}},
-		"same id, new start":     {{start(1), 7, true, directory.BecameLeaving}, {start(2), 1, false, directory.BecameServing}},
-		"leaving without a beat": {{start(1), 0, true, directory.BecameLeaving}, {start(1), 1, false, directory.NoTransition}},
-		"other id, same birth":   {{start(1), 1, false, directory.BecameServing}, {directory.Incarnation{ID: "j", StartMillis: 1}, 1, false, directory.NoTransition}},
+		"first announcement":          {{start(1), 1, false, directory.BecameServing}, {start(1), 2, false, directory.NoTransition}},
+		"ready after leaving":         {{start(1), 1, false, directory.BecameServing}, {start(1), 3, true, directory.BecameLeaving}, {start(1), 2, false, directory.NoTransition}, {start(1), 4, false, directory.NoTransition}},
+		"old incarnation":             {{start(2), 1, false, directory.BecameServing}, {start(1), 9, false, directory.NoTransition}},
+		"same id, new start":          {{start(1), 7, true, directory.BecameLeaving}, {start(2), 1, false, directory.BecameServing}},
+		"leaving without a heartbeat": {{start(1), 0, true, directory.BecameLeaving}, {start(1), 1, false, directory.NoTransition}},
+		"other id, same start":        {{start(1), 1, false, directory.BecameServing}, {directory.Incarnation{ID: "j", StartMillis: 1}, 1, false, directory.NoTransition}},
 	} {
 		var tracker directory.Tracker
 		for i, s := range steps {
@@ -66,7 +66,7 @@
 			}
 			current, state := tracker.Current()
 			if state == directory.Serving {
-				require.False(t, left[current], "%v serves after its leaving", current)
+				require.False(t, left[current], "%v serves after its departure", current)
 				require.Equal(t, latest, current.StartMillis)
 			}
 		}
--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -46,7 +46,7 @@
 	routeCapTTL = 300 * time.Millisecond
 	// maxRouteCaps bounds the number of route caps stored for each backend server.
 	maxRouteCaps = 64
-	// initialBackoff and maxBackoff bound how long an unusable backend server is avoided. The backoff doubles each time.
+	// initialBackoff and maxBackoff bound how long an unusable backend server is ejected. The backoff doubles each time.
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 3 * time.Second
 )
@@ -131,7 +131,7 @@
 	// failureRate is the moving average of the share of calls that failed.
 	failureRate   float64
 	failureRateAt time.Time
-	avoidedUntil  time.Time
+	ejectedUntil  time.Time
 	backoff       time.Duration
 	// cappedUntil maps a route to the time until which the backend server is excluded for it.
 	cappedUntil *kernel.LRU[string, time.Time]
@@ -155,7 +155,7 @@
 }
 
 // Choose returns the candidate with the lowest cost, and false when every candidate is excluded or capped. If all remaining
-// candidates are avoided, it returns the one whose avoidance ends first.
+// candidates are ejected, it returns the one whose ejection ends first.
 func (c *Chooser) Choose(now time.Time, q Query, random *kernel.Rand) (Choice, bool) {
 	var best, second, fallback *peer
 	var bestCost, secondCost time.Duration
@@ -163,8 +163,8 @@
 		if q.Exclude.Has(p.candidate.Address) || p.isCapped(now, q.Route) {
 			continue
 		}
-		if now.Before(p.avoidedUntil) {
-			if fallback == nil || p.avoidedUntil.Before(fallback.avoidedUntil) {
+		if now.Before(p.ejectedUntil) {
+			if fallback == nil || p.ejectedUntil.Before(fallback.ejectedUntil) {
 				fallback = p
 			}
 			continue
@@ -293,15 +293,15 @@
 	}
 	switch o := o.(type) {
 	case Answered:
-		p.avoidedUntil, p.backoff = time.Time{}, 0
+		p.ejectedUntil, p.backoff = time.Time{}, 0
 		p.updateFailureRate(now, 0)
 		c.recordRunTime(now, p, o)
 	case Unusable:
-		if now.Before(p.avoidedUntil) {
+		if now.Before(p.ejectedUntil) {
 			return
 		}
 		p.backoff = min(maxBackoff, max(initialBackoff, 2*p.backoff))
-		p.avoidedUntil = now.Add(p.backoff)
+		p.ejectedUntil = now.Add(p.backoff)
 	case Failed:
 		p.updateFailureRate(now, 1)
 	case Capped:
@@ -313,10 +313,10 @@
 	}
 }
 
-// MarkUsable ends the avoidance of a backend server that is known to be ready again.
+// MarkUsable ends the ejection of a backend server that is known to be ready again.
 func (c *Chooser) MarkUsable(address string) {
 	if p := c.peers[address]; p != nil {
-		p.avoidedUntil, p.backoff = time.Time{}, 0
+		p.ejectedUntil, p.backoff = time.Time{}, 0
 	}
 }
 
