--- a/command/check.go
+++ b/command/check.go
@@ -6,7 +6,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"lovagelane/setting"
+	"lovagelane/inifile"
 )
 
 func init() { Commands.Register("check", addCheck) }
@@ -26,7 +26,7 @@
 
 func check(env *Env, dir, format string) error {
 	cfg, err := readConfig(dir)
-	var problems setting.Problems
+	var problems inifile.Problems
 	if format == formatText && errors.As(err, &problems) {
 		fmt.Fprintln(env.Out, problems)
 		return problem(errReported)
--- a/command/command.go
+++ b/command/command.go
@@ -9,8 +9,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"lovagelane/inifile"
 	"lovagelane/kernel"
-	"lovagelane/setting"
 )
 
 // Exit codes of all commands; the help text documents them.
@@ -104,7 +104,7 @@
 
 func exitCode(err error, env *Env) int {
 	var exit Exit
-	var problems setting.Problems
+	var problems inifile.Problems
 	switch {
 	case err == nil:
 		return CodeOK
--- a/command/files.go
+++ b/command/files.go
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
+	"lovagelane/inifile"
 	"lovagelane/inventory"
-	"lovagelane/setting"
 )
 
 // readFiles reads inventory.ini and rules.ini from a directory. The files carry only their base names, so that positions
@@ -27,7 +27,7 @@
 	return files, nil
 }
 
-// readConfig reads and validates a configuration. It returns setting.Problems whose positions include the directory.
+// readConfig reads and validates a configuration. It returns inifile.Problems whose positions include the directory.
 func readConfig(dir string) (*inventory.Config, error) {
 	files, err := readFiles(dir)
 	if err != nil {
@@ -40,12 +40,12 @@
 	for i := range problems {
 		problems[i].Line.File = filepath.Join(dir, problems[i].Line.File)
 	}
-	return nil, problem(setting.Problems(problems))
+	return nil, problem(inifile.Problems(problems))
 }
 
-// reportProblems writes setting.Problems as JSON if that is the output format. Run prints all other errors.
+// reportProblems writes inifile.Problems as JSON if that is the output format. Run prints all other errors.
 func reportProblems(env *Env, format string, err error) error {
-	var problems setting.Problems
+	var problems inifile.Problems
 	if format != formatJSON || !errors.As(err, &problems) {
 		return err
 	}
@@ -55,9 +55,9 @@
 	return problem(errReported)
 }
 
-func writeProblems(env *Env, problems setting.Problems) error {
+func writeProblems(env *Env, problems inifile.Problems) error {
 	return writeJSON(env.Out, struct {
 		OK       bool             `json:"ok"`
-		Problems setting.Problems `json:"problems"`
-	}{len(problems) == 0, append(setting.Problems{}, problems...)})
+		Problems inifile.Problems `json:"problems"`
+	}{len(problems) == 0, append(inifile.Problems{}, problems...)})
 }
--- a/hangup/watch.go
+++ b/disconnect/watch.go
@@ -1,4 +1,4 @@
-package hangup
+package disconnect
 
 import (
 	"crypto/tls"
--- a/hangup/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package hangup detects callers that close their connection before they receive an answer. It peeks at the sockets and
-// consumes no data.
-package hangup
--- a/pressure/levels.go
+++ b/ingress/levels.go
@@ -1,4 +1,4 @@
-package pressure
+package ingress
 
 import (
 	"time"
--- a/pressure/levels_test.go
+++ b/ingress/levels_test.go
@@ -1,4 +1,4 @@
-package pressure_test
+package ingress_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"lovagelane/call"
-	"lovagelane/pressure"
+	"lovagelane/ingress"
 )
 
 var (
@@ -24,7 +24,7 @@
 // Guards against a learned level that is ignored, applied to another operation, or kept without confirmation.
 // Mutation: Admit always true; inForce without the release.
 func TestLevelIsLearnedAndReleased(t *testing.T) {
-	var l pressure.Levels
+	var l ingress.Levels
 	require.True(t, l.Admit(epoch, "maps", bulk))
 	l.Learn(epoch, "maps", strict)
 	require.False(t, l.Admit(epoch, "maps", bulk))
@@ -48,7 +48,7 @@
 // Guards against a level that stays strict because no request beyond it is admitted, and against too many probes.
 // Mutation: probeInterval of an hour, or of 0.
 func TestProbes(t *testing.T) {
-	var l pressure.Levels
+	var l ingress.Levels
 	probes := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 10 * ms {
 		l.Learn(epoch.Add(at), "maps", strict)
@@ -63,7 +63,7 @@
 // less strict answers do not raise.
 // Mutation: the strictest answer always wins; a less strict answer changes nothing.
 func TestAnswersOfSeveralBackendServers(t *testing.T) {
-	var l pressure.Levels
+	var l ingress.Levels
 	now := epoch
 	for i := range 60 {
 		now = now.Add(10 * ms)
@@ -87,7 +87,7 @@
 // Mutation: Learn moving the level by twice the distance.
 func TestLevelStaysWithinTheAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l pressure.Levels
+		var l ingress.Levels
 		now, strictest := epoch, call.LeastImportant
 		for range rapid.IntRange(1, 50).Draw(t, "answers") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms)
@@ -107,8 +107,8 @@
 // Guards against unbounded memory for the names of operations, classes and callers.
 // Mutation: maxOperations, maxClasses or maxCallers of 1<<30.
 func TestTablesAreBounded(t *testing.T) {
-	var l pressure.Levels
-	var s pressure.Shares
+	var l ingress.Levels
+	var s ingress.Shares
 	heapAfter := func(from, to int) uint64 {
 		for i := from; i < to; i++ {
 			name := fmt.Sprint("name-", i)
@@ -128,7 +128,7 @@
 }
 
 func BenchmarkAdmitLearn(b *testing.B) {
-	var l pressure.Levels
+	var l ingress.Levels
 	now := epoch
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pressure/shares_test.go
+++ b/ingress/shares_test.go
@@ -1,4 +1,4 @@
-package pressure_test
+package ingress_test
 
 import (
 	"fmt"
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 
 	"lovagelane/call"
-	"lovagelane/pressure"
+	"lovagelane/ingress"
 )
 
 // simulateDemand sends the requests of callers, at the given rates per second, through s. It records the requests beyond
 // capacity as refused, and returns the share of each caller's requests that was marked as excess in the last second.
-func simulateDemand(s *pressure.Shares, start time.Time, length time.Duration, capacity float64, rates ...float64) []float64 {
+func simulateDemand(s *ingress.Shares, start time.Time, length time.Duration, capacity float64, rates ...float64) []float64 {
 	pending, marked, sent := make([]float64, len(rates)), make([]float64, len(rates)), make([]float64, len(rates))
 	var offered, excess float64
 	refusals := 0.0
@@ -67,7 +67,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var s pressure.Shares
+			var s ingress.Shares
 			got := simulateDemand(&s, epoch, 5*time.Second, test.capacity, test.rates...)
 			for i := range test.want {
 				require.InDelta(t, test.want[i], got[i], 0.05, "caller %d", i)
@@ -84,7 +84,7 @@
 // Mutation: Value without the mask of the base.
 func TestValuesKeepTheBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s pressure.Shares
+		var s ingress.Shares
 		now, contended := epoch, false
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * ms)
@@ -105,7 +105,7 @@
 	for i := range names {
 		names[i] = fmt.Sprint("caller-", i)
 	}
-	var s pressure.Shares
+	var s ingress.Shares
 	now := epoch
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/pressure/size_test.go
+++ b/ingress/size_test.go
@@ -1,4 +1,4 @@
-package pressure_test
+package ingress_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"lovagelane/call"
-	"lovagelane/pressure"
+	"lovagelane/ingress"
 )
 
 // tableSize is the bound on the tables of operations and callers.
@@ -27,7 +27,7 @@
 	b.Run("level", func(b *testing.B) {
 		for b.Loop() {
 			before := heapBytes()
-			var l pressure.Levels
+			var l ingress.Levels
 			for i := range tableSize {
 				l.Learn(now, fmt.Sprintf("GET /service-%d/page", i), call.Priority{Rank: 4, Value: 3})
 			}
@@ -38,7 +38,7 @@
 	b.Run("share", func(b *testing.B) {
 		for b.Loop() {
 			before := heapBytes()
-			var s pressure.Shares
+			var s ingress.Shares
 			for i := range tableSize {
 				s.Value(now, "orders", fmt.Sprintf("workshop-%d", i), 1)
 			}
--- a/setting/document.go
+++ b/inifile/document.go
@@ -1,4 +1,4 @@
-package setting
+package inifile
 
 import (
 	"fmt"
--- a/setting/setting_test.go
+++ b/inifile/inifile_test.go
@@ -1,4 +1,4 @@
-package setting_test
+package inifile_test
 
 import (
 	"strings"
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"lovagelane/setting"
+	"lovagelane/inifile"
 )
 
-var kinds = []setting.Kind{{Name: "node", Required: []string{"service"}, Optional: []string{"store"}}, {Name: "keys"}}
+var kinds = []inifile.Kind{{Name: "node", Required: []string{"service"}, Optional: []string{"store"}}, {Name: "keys"}}
 
-func read(text string) ([]setting.Section, setting.Problems) {
-	return setting.Read("node.ini", text, kinds)
+func read(text string) ([]inifile.Section, inifile.Problems) {
+	return inifile.Read("node.ini", text, kinds)
 }
 
 // Guards against values that ini.v1 parses differently from the line index: surrounding space, inline comments, quotes,
@@ -36,15 +36,15 @@
 		v, ok := sections[0].Value("service")
 		require.True(t, ok)
 		require.Equal(t, want, v.Text)
-		require.Equal(t, setting.Line{File: "node.ini", Number: 4}, v.Line)
-		require.Equal(t, setting.Line{File: "node.ini", Number: 3}, sections[0].Line)
+		require.Equal(t, inifile.Line{File: "node.ini", Number: 4}, v.Line)
+		require.Equal(t, inifile.Line{File: "node.ini", Number: 3}, sections[0].Line)
 	}
 }
 
 // Guards against accepting a file that is too large for a node to send to others, and against an off-by-one error in the limit.
 func TestReadBoundsFileSize(t *testing.T) {
 	text := "[node]\nservice = maps\n#"
-	text += strings.Repeat("x", setting.MaxFileBytes-len(text))
+	text += strings.Repeat("x", inifile.MaxFileBytes-len(text))
 	_, problems := read(text)
 	require.Empty(t, problems)
 	_, problems = read(text + "x")
@@ -55,9 +55,9 @@
 func TestBytesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.Int64Range(1, 1<<30).Draw(t, "n")
-		sections, problems := read("[node]\nservice = " + setting.FormatBytes(n))
+		sections, problems := read("[node]\nservice = " + inifile.FormatBytes(n))
 		require.Empty(t, problems)
-		var c setting.Collector
+		var c inifile.Collector
 		require.Equal(t, n, c.Bytes(sections[0], "service", 1<<30))
 		require.Empty(t, c.Problems)
 	})
--- a/inventory/config.go
+++ b/inventory/config.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lovagelane/setting"
+	"lovagelane/inifile"
 )
 
 const (
@@ -14,7 +14,7 @@
 	// RulesFile is the base name of the file that declares classes, request rules, callers and objectives.
 	RulesFile = "rules.ini"
 	// MaxTotalBytes is the maximum size of all files together, because nodes exchange a configuration as one text.
-	MaxTotalBytes = setting.MaxFileBytes
+	MaxTotalBytes = inifile.MaxFileBytes
 )
 
 // File holds the name and the content of one of the operators' INI files.
@@ -24,10 +24,10 @@
 }
 
 // Line is the file and line that a setting came from.
-type Line = setting.Line
+type Line = inifile.Line
 
 // Problem is an error in the files, with its file and line and the remedy.
-type Problem = setting.Problem
+type Problem = inifile.Problem
 
 // Region is a region declared in the inventory.
 type Region struct {
--- a/inventory/explain.go
+++ b/inventory/explain.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"lovagelane/setting"
+	"lovagelane/inifile"
 )
 
 // Source is the origin of a setting's value.
@@ -55,12 +55,12 @@
 	return found
 }
 
-func (b *builder) recordSection(sub Subject, s setting.Section) {
+func (b *builder) recordSection(sub Subject, s inifile.Section) {
 	b.recordSetting(sub, "", "", s.Line, SourceStated)
 }
 
 // recordKey records a key if the section sets it.
-func (b *builder) recordKey(sub Subject, s setting.Section, key, value string) {
+func (b *builder) recordKey(sub Subject, s inifile.Section, key, value string) {
 	if _, ok := s.Value(key); ok {
 		b.recordSetting(sub, key, value, s.LineOf(key), SourceStated)
 	}
--- a/inventory/parse.go
+++ b/inventory/parse.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"lovagelane/setting"
+	"lovagelane/inifile"
 )
 
 const (
@@ -27,7 +27,7 @@
 	reservedServiceName = "lovagelane"
 )
 
-var inventoryKinds = []setting.Kind{
+var inventoryKinds = []inifile.Kind{
 	{Name: "region", Names: []string{"name"}, Optional: []string{"store"}},
 	{Name: "availability-zone", Names: []string{"name"}, Required: []string{"region"}},
 	{Name: "service", Names: []string{"name"}, Required: []string{"timeout"},
@@ -36,7 +36,7 @@
 		Optional: []string{"slots", "connections"}},
 }
 
-var rulesKinds = []setting.Kind{
+var rulesKinds = []inifile.Kind{
 	{Name: "class", Names: []string{"name"}, Required: []string{"rank"}, Optional: []string{"default"}},
 	{Name: "request", Names: []string{"name"}, Required: []string{"service", "path", "class"},
 		Optional: []string{"method", "non-idempotent", "timeout"}},
@@ -66,7 +66,7 @@
 // builder fills the tables from the parsed sections. Invalid entries stay in the tables, so that an error in one entry is
 // not reported again at every reference to it.
 type builder struct {
-	setting.Collector
+	inifile.Collector
 	*tables
 	// fileOrder holds the names of the files, for sorting problems.
 	fileOrder     []string
@@ -76,7 +76,7 @@
 	region map[string]Region
 	class  map[string]Class
 	// serviceSections holds the section of each service.
-	serviceSections map[string]setting.Section
+	serviceSections map[string]inifile.Section
 	rulesByService  map[string][]RequestRule
 	// incomplete is set if a file is missing or the files are too large, so that missing sections are not reported.
 	incomplete bool
@@ -93,13 +93,13 @@
 		},
 		region:          map[string]Region{},
 		class:           map[string]Class{},
-		serviceSections: map[string]setting.Section{},
+		serviceSections: map[string]inifile.Section{},
 		rulesByService:  map[string][]RequestRule{},
 	}
 }
 
 // read checks the names and the total size of the files and returns the sections of both.
-func (b *builder) read(files []File) (inventory, rules []setting.Section) {
+func (b *builder) read(files []File) (inventory, rules []inifile.Section) {
 	totalBytes := 0
 	for _, f := range files {
 		b.fileOrder = append(b.fileOrder, f.Name)
@@ -120,7 +120,7 @@
 	return inventory, rules
 }
 
-func (b *builder) readFile(files []File, base string, kinds []setting.Kind) (string, []setting.Section) {
+func (b *builder) readFile(files []File, base string, kinds []inifile.Kind) (string, []inifile.Section) {
 	var found []File
 	for _, f := range files {
 		if path.Base(f.Name) == base {
@@ -137,7 +137,7 @@
 	default:
 		b.Add(Line{File: found[1].Name, Number: 1}, fmt.Sprintf("there is a second %s", base), "give one file of each name")
 	}
-	sections, problems := setting.Read(found[0].Name, found[0].Text, kinds)
+	sections, problems := inifile.Read(found[0].Name, found[0].Text, kinds)
 	b.Problems = append(b.Problems, problems...)
 	return found[0].Name, sections
 }
@@ -149,11 +149,11 @@
 	}
 }
 
-func sectionsOfKind(sections []setting.Section, kind string) []setting.Section {
-	return slices.DeleteFunc(slices.Clone(sections), func(s setting.Section) bool { return s.Kind != kind })
+func sectionsOfKind(sections []inifile.Section, kind string) []inifile.Section {
+	return slices.DeleteFunc(slices.Clone(sections), func(s inifile.Section) bool { return s.Kind != kind })
 }
 
-func (b *builder) readRegions(sections []setting.Section) {
+func (b *builder) readRegions(sections []inifile.Section) {
 	var store Line
 	for _, s := range sectionsOfKind(sections, "region") {
 		r := Region{Name: s.Names[0], Store: b.Bool(s, "store"), Line: s.Line}
@@ -174,7 +174,7 @@
 	b.requireSection(b.inventoryFile, len(b.regions), "[region NAME]", "add one for each region")
 }
 
-func (b *builder) readZones(sections []setting.Section) {
+func (b *builder) readZones(sections []inifile.Section) {
 	for _, s := range sectionsOfKind(sections, "availability-zone") {
 		z := AvailabilityZone{Name: s.Names[0], Region: b.Name(s, "region"), Line: s.Line}
 		checkReference(b, s, "region", z.Region, "region", b.region)
@@ -192,7 +192,7 @@
 	b.requireSection(b.inventoryFile, len(b.zones), "[availability-zone NAME]", "add one for each availability zone")
 }
 
-func (b *builder) readServices(sections []setting.Section) {
+func (b *builder) readServices(sections []inifile.Section) {
 	for _, s := range sectionsOfKind(sections, "service") {
 		service := b.readService(s)
 		if _, ok := b.service[service.Name]; ok {
@@ -210,7 +210,7 @@
 	}
 }
 
-func (b *builder) readService(s setting.Section) Service {
+func (b *builder) readService(s inifile.Section) Service {
 	service := Service{
 		Name:        s.Names[0],
 		Timeout:     b.Duration(s, "timeout", maxTimeout),
@@ -228,9 +228,9 @@
 	b.recordKey(sub, s, "timeout", service.Timeout.String())
 	if service.MaxBody == 0 {
 		service.MaxBody = DefaultMaxBodyBytes
-		b.recordSetting(sub, "max-body", setting.FormatBytes(DefaultMaxBodyBytes), s.Line, SourceDefault)
+		b.recordSetting(sub, "max-body", inifile.FormatBytes(DefaultMaxBodyBytes), s.Line, SourceDefault)
 	} else {
-		b.recordKey(sub, s, "max-body", setting.FormatBytes(service.MaxBody))
+		b.recordKey(sub, s, "max-body", inifile.FormatBytes(service.MaxBody))
 	}
 	b.recordKey(sub, s, "calls", strings.Join(slices.Sorted(slices.Values(service.Calls)), ", "))
 	b.recordKey(sub, s, "slots", fmt.Sprint(b.Int(s, "slots", 1, maxSlots)))
@@ -238,7 +238,7 @@
 	return service
 }
 
-func (b *builder) readBackendServers(sections []setting.Section) {
+func (b *builder) readBackendServers(sections []inifile.Section) {
 	for _, s := range sectionsOfKind(sections, "backend-servers") {
 		g := BackendServers{Service: s.Names[0], AvailabilityZone: s.Names[1], Count: b.Int(s, "count", 1, maxGroupSize), Line: s.Line}
 		checkReference(b, s, "", g.Service, "service", b.service)
@@ -263,7 +263,7 @@
 }
 
 // groupLimit returns a limit that the group sets or inherits from its service, and the line that sets it.
-func (b *builder) groupLimit(sub Subject, s setting.Section, key string, maximum int) (int, Line) {
+func (b *builder) groupLimit(sub Subject, s inifile.Section, key string, maximum int) (int, Line) {
 	if _, ok := s.Value(key); ok {
 		n := b.Int(s, key, 1, maximum)
 		b.recordKey(sub, s, key, fmt.Sprint(n))
@@ -279,7 +279,7 @@
 		return 0, s.Line
 	}
 	// readService has already reported problems with the service's value.
-	var discarded setting.Collector
+	var discarded inifile.Collector
 	n := discarded.Int(serviceSection, key, 1, maximum)
 	at := serviceSection.LineOf(key)
 	b.recordSetting(sub, key, fmt.Sprint(n), at, SourceInherited)
@@ -287,7 +287,7 @@
 }
 
 // checkReference reports a name that is not in the table. It skips an empty name, which was reported as malformed.
-func checkReference[V any](b *builder, s setting.Section, key, name, what string, table map[string]V) {
+func checkReference[V any](b *builder, s inifile.Section, key, name, what string, table map[string]V) {
 	if _, ok := table[name]; ok || name == "" {
 		return
 	}
--- a/inventory/rules.go
+++ b/inventory/rules.go
@@ -8,20 +8,20 @@
 	"strings"
 
 	"lovagelane/call"
-	"lovagelane/setting"
+	"lovagelane/inifile"
 )
 
 // knownMethods lists the methods that a rule can match; HTTP methods are case-sensitive.
 var knownMethods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 
-func (b *builder) readRules(sections []setting.Section) {
+func (b *builder) readRules(sections []inifile.Section) {
 	b.readClasses(sectionsOfKind(sections, "class"))
 	b.readRequests(sectionsOfKind(sections, "request"))
 	b.readCallers(sectionsOfKind(sections, "caller"))
 	b.readObjectives(sectionsOfKind(sections, "objective"))
 }
 
-func (b *builder) readClasses(sections []setting.Section) {
+func (b *builder) readClasses(sections []inifile.Section) {
 	for _, s := range sections {
 		c := Class{
 			Name:     s.Names[0],
@@ -54,7 +54,7 @@
 	}
 }
 
-func (b *builder) readRequests(sections []setting.Section) {
+func (b *builder) readRequests(sections []inifile.Section) {
 	seen := map[string]bool{}
 	for _, s := range sections {
 		r := b.readRequest(s)
@@ -75,7 +75,7 @@
 	}
 }
 
-func (b *builder) readRequest(s setting.Section) RequestRule {
+func (b *builder) readRequest(s inifile.Section) RequestRule {
 	op := Operation{
 		Name:          s.Names[0],
 		Service:       b.Name(s, "service"),
@@ -121,7 +121,7 @@
 	}
 }
 
-func (b *builder) readMethod(s setting.Section) string {
+func (b *builder) readMethod(s inifile.Section) string {
 	v, ok := s.Value("method")
 	if ok && !slices.Contains(knownMethods, v.Text) {
 		b.Add(v.Line, fmt.Sprintf("the rule can never match: %s is not a method", v.Text),
@@ -132,7 +132,7 @@
 }
 
 // readPath returns the path of a rule, or "" if no request can match it.
-func (b *builder) readPath(s setting.Section) string {
+func (b *builder) readPath(s inifile.Section) string {
 	v, ok := s.Value("path")
 	if !ok {
 		return ""
@@ -189,7 +189,7 @@
 	return fmt.Sprintf("request %s of line %d", r.Operation.Name, r.Operation.Line.Number)
 }
 
-func (b *builder) readCallers(sections []setting.Section) {
+func (b *builder) readCallers(sections []inifile.Section) {
 	for _, s := range sections {
 		c := Caller{Name: s.Names[0], Line: s.Line}
 		var texts []string
@@ -225,7 +225,7 @@
 	return prefix, err
 }
 
-func (b *builder) readObjectives(sections []setting.Section) {
+func (b *builder) readObjectives(sections []inifile.Section) {
 	for _, s := range sections {
 		o := Objective{Service: s.Names[0], Answered: b.Percent(s, "answered"), Within: b.Duration(s, "within", maxTimeout), Line: s.Line}
 		checkReference(b, s, "", o.Service, "service", b.service)
--- a/mesh/backend.go
+++ b/mesh/backend.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 
 	"lovagelane/directory"
-	"lovagelane/hangup"
+	"lovagelane/disconnect"
 	"lovagelane/link"
 )
 
@@ -151,7 +151,7 @@
 	if err != nil {
 		return false
 	}
-	pending, closed := hangup.Peek(raw)
+	pending, closed := disconnect.Peek(raw)
 	return !pending && !closed
 }
 
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -16,9 +16,9 @@
 
 	"lovagelane/balance"
 	"lovagelane/directory"
+	"lovagelane/disconnect"
 	"lovagelane/dispatch"
 	"lovagelane/event"
-	"lovagelane/hangup"
 	"lovagelane/kernel"
 	"lovagelane/link"
 	"lovagelane/quarantine"
@@ -92,7 +92,7 @@
 	pool        *kernel.Pool
 	transport   *link.Transport
 	backend     *backend
-	callerWatch hangup.Watcher
+	callerWatch disconnect.Watcher
 	servers     []*fasthttp.Server
 	listeners   []net.Listener
 	config      atomic.Pointer[routing.Config]
--- a/node/node.go
+++ b/node/node.go
@@ -16,8 +16,8 @@
 	"lovagelane/burn"
 	"lovagelane/call"
 	"lovagelane/control"
+	"lovagelane/disconnect"
 	"lovagelane/event"
-	"lovagelane/hangup"
 	"lovagelane/inventory"
 	"lovagelane/kernel"
 	"lovagelane/keys"
@@ -118,7 +118,7 @@
 	attempts       attemptTable
 	quarantined    quarantineTable
 	entryAdmission entryAdmission
-	watch          hangup.Watcher
+	watch          disconnect.Watcher
 
 	servers   []*fasthttp.Server
 	addresses Addresses
--- a/node/tables.go
+++ b/node/tables.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"lovagelane/call"
-	"lovagelane/pressure"
+	"lovagelane/ingress"
 	"lovagelane/quarantine"
 	"lovagelane/ticket"
 )
@@ -58,8 +58,8 @@
 // callers.
 type entryAdmission struct {
 	mu     sync.Mutex
-	levels pressure.Levels
-	shares pressure.Shares
+	levels ingress.Levels
+	shares ingress.Shares
 }
 
 func (e *entryAdmission) admit(now time.Time, operation string, priority call.Priority) bool {
--- a/node/owned.go
+++ b/node/ticket.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 
 	"lovagelane/call"
-	"lovagelane/hangup"
+	"lovagelane/disconnect"
 	"lovagelane/ticket"
 )
 
@@ -150,7 +150,7 @@
 // runTicketed forwards the request and keeps its answer for resends. A caller that disconnects later does not cancel the
 // request, because its resend fetches the answer.
 func (n *Node) runTicketed(ctx *fasthttp.RequestCtx, out *outbound, t ticket.Ticket, allowance int) {
-	if hangup.Abandoned(ctx.Conn()) {
+	if disconnect.Abandoned(ctx.Conn()) {
 		n.ticketOwner.finish(n.clock.Now(), t.Seq, ticket.Answer{Outcome: call.OutcomeNotRun, Reason: call.ReasonCancelled}, allowance)
 		n.refuseCaller(ctx, &out.op, refusal(call.ReasonCancelled, call.OutcomeNotRun, out.op.Line.String()))
 		return
--- a/setting/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package setting is a strict INI parser with a schema. It records the line of every section and key, and reports every
-// mistake with its file, line and remedy. The inventory and the settings of a process are parsed with it.
-package setting
--- a/settings/mesh.go
+++ b/settings/mesh.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"lovagelane/setting"
+	"lovagelane/inifile"
 )
 
 // Maximum values of settings.
@@ -18,7 +18,7 @@
 	maxRepeatWindow   = 10 * time.Minute
 )
 
-var meshKinds = []setting.Kind{
+var meshKinds = []inifile.Kind{
 	{
 		Name: "mesh",
 		Required: []string{"deployment", "service", "availability-zone", "region", "backend-server", "callers-listen", "ready-listen",
@@ -77,17 +77,17 @@
 	return ParseMesh(path, string(text))
 }
 
-// ParseMesh parses the settings of a mesh node and returns either them or setting.Problems with every mistake.
+// ParseMesh parses the settings of a mesh node and returns either them or inifile.Problems with every mistake.
 func ParseMesh(file, text string) (Mesh, error) {
-	sections, problems := setting.Read(file, text, meshKinds)
-	r := &reader{sections: map[string]setting.Section{}, listenerKeys: map[string]string{}}
+	sections, problems := inifile.Read(file, text, meshKinds)
+	r := &reader{sections: map[string]inifile.Section{}, listenerKeys: map[string]string{}}
 	r.Problems = problems
 	for _, s := range sections {
 		r.sections[s.Kind] = s
 	}
 	s, ok := r.sections["mesh"]
 	if !ok && len(r.Problems) == 0 {
-		r.Add(setting.Line{File: file, Number: 1}, "there is no [mesh] section", "add it with the lines "+strings.Join(meshKinds[0].Required, ", "))
+		r.Add(inifile.Line{File: file, Number: 1}, "there is no [mesh] section", "add it with the lines "+strings.Join(meshKinds[0].Required, ", "))
 	}
 	m := r.mesh(s)
 	if len(r.Problems) > 0 {
@@ -97,7 +97,7 @@
 	return m, nil
 }
 
-func (r *reader) mesh(s setting.Section) Mesh {
+func (r *reader) mesh(s inifile.Section) Mesh {
 	m := Mesh{
 		Deployment:       r.Name(s, "deployment"),
 		Service:          r.Text(s, "service"),
@@ -130,7 +130,7 @@
 }
 
 // ratio parses a number from 0 to 1.
-func (r *reader) ratio(s setting.Section, key string) float64 {
+func (r *reader) ratio(s inifile.Section, key string) float64 {
 	v, ok := s.Value(key)
 	if !ok {
 		return 0
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,7 +10,7 @@
 
 	"github.com/zeebo/errs"
 
-	"lovagelane/setting"
+	"lovagelane/inifile"
 )
 
 const (
@@ -21,10 +21,10 @@
 	DefaultAdminListen = "127.0.0.1:7004"
 )
 
-// Err is the class of errors for settings that cannot be read; mistakes in settings are setting.Problems.
+// Err is the class of errors for settings that cannot be read; mistakes in settings are inifile.Problems.
 var Err = errs.Class("settings")
 
-var nodeKinds = []setting.Kind{
+var nodeKinds = []inifile.Kind{
 	{
 		Name: "node",
 		Required: []string{"service", "availability-zone", "backend-server", "callers-listen", "backend-listen",
@@ -79,10 +79,10 @@
 	return Parse(path, string(text))
 }
 
-// Parse parses a node's settings and returns either them or setting.Problems with every mistake.
+// Parse parses a node's settings and returns either them or inifile.Problems with every mistake.
 func Parse(file, text string) (Node, error) {
-	sections, problems := setting.Read(file, text, nodeKinds)
-	r := &reader{sections: map[string]setting.Section{}, listenerKeys: map[string]string{}}
+	sections, problems := inifile.Read(file, text, nodeKinds)
+	r := &reader{sections: map[string]inifile.Section{}, listenerKeys: map[string]string{}}
 	r.Problems = problems
 	for _, s := range sections {
 		if _, ok := r.sections[s.Kind]; !ok {
@@ -90,9 +90,9 @@
 		}
 	}
 	for _, kind := range []string{"node", "keys"} {
-		if _, ok := r.sections[kind]; !ok && len(text) <= setting.MaxFileBytes {
-			r.Add(setting.Line{File: file, Number: 1}, fmt.Sprintf("there is no [%s] section", kind), "add it with the lines "+
-				strings.Join(nodeKinds[slices.IndexFunc(nodeKinds, func(k setting.Kind) bool { return k.Name == kind })].Required, ", "))
+		if _, ok := r.sections[kind]; !ok && len(text) <= inifile.MaxFileBytes {
+			r.Add(inifile.Line{File: file, Number: 1}, fmt.Sprintf("there is no [%s] section", kind), "add it with the lines "+
+				strings.Join(nodeKinds[slices.IndexFunc(nodeKinds, func(k inifile.Kind) bool { return k.Name == kind })].Required, ", "))
 		}
 	}
 	n := r.node()
@@ -104,8 +104,8 @@
 }
 
 type reader struct {
-	setting.Collector
-	sections map[string]setting.Section
+	inifile.Collector
+	sections map[string]inifile.Section
 	// listenerKeys maps each TCP listen address to the settings key that contains it.
 	listenerKeys map[string]string
 }
@@ -151,7 +151,7 @@
 
 // parseAddress parses an IP address and port. Only a listener can have port 0, for which the system selects a port, or an
 // unspecified IP address.
-func (r *reader) parseAddress(at setting.Line, key, value string, listener bool) netip.AddrPort {
+func (r *reader) parseAddress(at inifile.Line, key, value string, listener bool) netip.AddrPort {
 	a, err := netip.ParseAddrPort(value)
 	switch {
 	case err != nil:
@@ -166,7 +166,7 @@
 	return netip.AddrPort{}
 }
 
-func (r *reader) listenAddress(s setting.Section, key string) netip.AddrPort {
+func (r *reader) listenAddress(s inifile.Section, key string) netip.AddrPort {
 	v, ok := s.Value(key)
 	if !ok {
 		return netip.AddrPort{}
@@ -174,7 +174,7 @@
 	return r.parseAddress(v.Line, key, v.Text, true)
 }
 
-func (r *reader) dialAddress(s setting.Section, key string) string {
+func (r *reader) dialAddress(s inifile.Section, key string) string {
 	v, ok := s.Value(key)
 	if !ok {
 		return ""
@@ -183,7 +183,7 @@
 }
 
 // advertisedAddress parses a listen address that is advertised to others, so it must not have the unspecified IP address.
-func (r *reader) advertisedAddress(s setting.Section, key string) string {
+func (r *reader) advertisedAddress(s inifile.Section, key string) string {
 	a := r.listenAddress(s, key)
 	if a.IsValid() && a.Addr().IsUnspecified() {
 		r.Add(s.LineOf(key), fmt.Sprintf("%s = %s cannot be announced to others", key, a), "state the IP number of this instance")
@@ -191,7 +191,7 @@
 	return formatAddress(a)
 }
 
-func (r *reader) loopbackAddress(s setting.Section, key string) string {
+func (r *reader) loopbackAddress(s inifile.Section, key string) string {
 	a := r.listenAddress(s, key)
 	if a.IsValid() && !a.Addr().IsLoopback() {
 		r.Add(s.LineOf(key), fmt.Sprintf("%s = %s is open to other instances", key, a), "use a loopback address, as in 127.0.0.1:7001")
@@ -200,7 +200,7 @@
 }
 
 // checkDuplicateListener reports a TCP listen address that an earlier key has too.
-func (r *reader) checkDuplicateListener(s setting.Section, key string) {
+func (r *reader) checkDuplicateListener(s inifile.Section, key string) {
 	v, ok := s.Value(key)
 	value := v.Text
 	if !ok && key == "admin-listen" {
@@ -217,7 +217,7 @@
 	r.listenerKeys[a.String()] = key
 }
 
-func (r *reader) url(s setting.Section, key string) string {
+func (r *reader) url(s inifile.Section, key string) string {
 	v, ok := s.Value(key)
 	if !ok {
 		return ""
