--- a/directory/tracker_test.go
+++ b/directory/tracker_test.go
@@ -49,14 +49,14 @@
 func TestTrackerNeverServesAfterLeaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker directory.Tracker
-		left := map[directory.Incarnation]bool{}
+		departed := map[directory.Incarnation]bool{}
 		latest := int64(0)
 		for range 50 {
 			b := start(rapid.Int64Range(1, 4).Draw(t, "born"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				tracker.Observe(b, rapid.Uint64Range(1, 9).Draw(t, "sequence"), true)
-				left[b] = left[b] || b.StartMillis >= latest
+				departed[b] = departed[b] || b.StartMillis >= latest
 				latest = max(latest, b.StartMillis)
 			case 1, 2:
 				tracker.Observe(b, rapid.Uint64Range(1, 9).Draw(t, "sequence"), false)
@@ -66,7 +66,7 @@
 			}
 			current, state := tracker.Current()
 			if state == directory.Serving {
-				require.False(t, left[current], "%v serves after its departure", current)
+				require.False(t, departed[current], "%v serves after its departure", current)
 				require.Equal(t, latest, current.StartMillis)
 			}
 		}
--- a/mesh/backend.go
+++ b/mesh/backend.go
@@ -207,14 +207,14 @@
 			k.close()
 			return readFailure(err)
 		}
-		reply := b.n.deployment.ReadAnswer(&resp.Header)
-		if reply.ID == j.m.RequestID || reply.ID == "" {
+		meta := b.n.deployment.ReadAnswer(&resp.Header)
+		if meta.ID == j.m.RequestID || meta.ID == "" {
 			if writeErr != nil {
 				resp.SetConnectionClose()
 			}
-			return b.classifyAnswer(j, k, resp, reply)
+			return b.classifyAnswer(j, k, resp, meta)
 		}
-		b.n.log.Warn("stray-answer", "request", j.m.RequestID, "answer-to", reply.ID)
+		b.n.log.Warn("stray-answer", "request", j.m.RequestID, "answer-to", meta.ID)
 	}
 	k.close()
 	return exchangeResult{outcome: outcomeLost, reason: "stray-answers"}
@@ -229,15 +229,15 @@
 }
 
 // classifyAnswer converts an answer to an exchangeResult and releases the connection.
-func (b *backend) classifyAnswer(j *job, k *backendConn, resp *fasthttp.Response, reply AnswerMeta) exchangeResult {
-	b.release(k, resp, reply)
+func (b *backend) classifyAnswer(j *job, k *backendConn, resp *fasthttp.Response, meta AnswerMeta) exchangeResult {
+	b.release(k, resp, meta)
 	switch {
-	case reply.OtherBackend:
+	case meta.OtherBackend:
 		return exchangeResult{outcome: outcomeRejected, reason: "other-backend-server", status: resp.StatusCode(), backendGone: true}
-	case reply.NotRun:
+	case meta.NotRun:
 		return exchangeResult{outcome: outcomeRejected, reason: "backend-server", status: resp.StatusCode()}
-	case !reply.Signed || reply.ID == "":
-		b.n.log.Warn("answer-not-stamped", "request", j.m.RequestID, "status", resp.StatusCode(), "id", reply.ID)
+	case !meta.Signed || meta.ID == "":
+		b.n.log.Warn("answer-not-stamped", "request", j.m.RequestID, "status", resp.StatusCode(), "id", meta.ID)
 		return exchangeResult{outcome: outcomeLost, reason: "answer-not-stamped"}
 	}
 	return exchangeResult{outcome: outcomeAnswered, status: resp.StatusCode(), head: answerHead(&resp.Header),
@@ -246,13 +246,13 @@
 
 // release returns a connection to the idle ones. It closes it if the answer asks for that, if there are unread bytes, which
 // belong to no request, or if the answer is neither signed nor marked as not run.
-func (b *backend) release(k *backendConn, resp *fasthttp.Response, reply AnswerMeta) {
-	if resp.ConnectionClose() || k.r.Buffered() > 0 || !reply.Signed && !reply.NotRun {
+func (b *backend) release(k *backendConn, resp *fasthttp.Response, meta AnswerMeta) {
+	if resp.ConnectionClose() || k.r.Buffered() > 0 || !meta.Signed && !meta.NotRun {
 		k.close()
 		return
 	}
-	if reply.IdleTimeout > 0 {
-		k.idleTimeout = time.Duration(idleTimeoutShare * float64(reply.IdleTimeout))
+	if meta.IdleTimeout > 0 {
+		k.idleTimeout = time.Duration(idleTimeoutShare * float64(meta.IdleTimeout))
 	}
 	b.pushIdle(b.n.clock.Now(), k)
 }
--- a/mesh/deployment.go
+++ b/mesh/deployment.go
@@ -29,7 +29,7 @@
 	// ReadRequest extracts the request id and the remaining time from the headers of a request.
 	ReadRequest(h *fasthttp.RequestHeader) RequestMeta
 	// Prepare sets the headers that a backend server expects on a request.
-	Prepare(h *fasthttp.RequestHeader, p ForwardMeta)
+	Prepare(h *fasthttp.RequestHeader, meta ForwardMeta)
 	// ReadAnswer extracts metadata from the headers of a backend server's answer.
 	ReadAnswer(h *fasthttp.ResponseHeader) AnswerMeta
 	// ReadAnnouncement parses a heartbeat or a deregistration of a backend server.
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -32,7 +32,7 @@
 			}
 		}
 		for i, from := range repeats {
-			inWindow, asked := 0, 0
+			inWindow, requestCount := 0, 0
 			for _, at := range repeats[i:] {
 				if at.Sub(from) < length {
 					inWindow++
@@ -40,10 +40,10 @@
 			}
 			for _, at := range requests {
 				if d := at.Sub(from); d >= -length && d < length {
-					asked++
+					requestCount++
 				}
 			}
-			require.LessOrEqual(t, float64(inWindow), ratio*float64(asked)+fixed)
+			require.LessOrEqual(t, float64(inWindow), ratio*float64(requestCount)+fixed)
 		}
 	})
 }
