--- a/balance/chooser.go
+++ b/balance/chooser.go
@@ -36,7 +36,7 @@
 // Chosen names the backend server to send the call to.
 type Chosen struct {
 	ID string
-	// Probe marks a call that tests whether an avoided backend server has recovered.
+	// Probe marks a call that tests whether an ejected backend server has recovered.
 	Probe bool
 	// CrossRegion marks a call that leaves the region.
 	CrossRegion bool
@@ -167,11 +167,11 @@
 // HedgeDelay returns how long to wait for an answer before sending a hedged request; zero means unknown.
 func (c *Chooser) HedgeDelay() time.Duration { return c.latencies.p95 }
 
-// Avoided returns the IDs of the candidates that are currently avoided.
-func (c *Chooser) Avoided() []string {
+// Ejected returns the IDs of the candidates that are currently ejected.
+func (c *Chooser) Ejected() []string {
 	var ids []string
 	for id, p := range c.peers {
-		if p.avoided {
+		if p.ejected {
 			ids = append(ids, id)
 		}
 	}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -43,8 +43,8 @@
 // Incarnation identifies one process of a backend server.
 type Incarnation struct {
 	ID string `cbor:"1,keyasint"`
-	// Born is the start time in Unix milliseconds, which distinguishes processes with the same id.
-	Born int64 `cbor:"2,keyasint"`
+	// StartMillis is the start time in Unix milliseconds, which distinguishes processes with the same id.
+	StartMillis int64 `cbor:"2,keyasint"`
 }
 
 // Node is the state that a node publishes about itself and its backend server.
@@ -84,9 +84,9 @@
 	entries map[string]Entry
 	// reported holds the state that a node reported over a connection after its row was read.
 	reported map[string]Node
-	// pendingLeavings holds, by node address, the leavings that other nodes could not write to the store.
-	pendingLeavings map[string]Incarnation
-	version         uint64
+	// pendingDepartures holds, by node address, the departures that other nodes could not write to the store.
+	pendingDepartures map[string]Incarnation
+	version           uint64
 }
 
 // Merge adds a row from the store or from another node and reports whether the directory changed. It ignores invalid and
@@ -125,9 +125,9 @@
 	d.version = max(d.version, version)
 }
 
-// Seen records the state that a node reported over a connection, which is newer than its row, and reports whether it
+// MergeReport records the state that a node reported over a connection, which is newer than its row, and reports whether it
 // changed. It ignores nodes without a row.
-func (d *Directory) Seen(n Node) bool {
+func (d *Directory) MergeReport(n Node) bool {
 	e, known := d.entries[n.Address]
 	if !n.Valid() || !known || e.Removed || d.latest(e) == n {
 		return false
@@ -211,18 +211,18 @@
 	return h.Sum32()
 }
 
-// Hold stores the leaving of another node's backend server, which that node could not write to the store.
-func (d *Directory) Hold(address string, b Incarnation) {
-	if d.pendingLeavings == nil {
-		d.pendingLeavings = map[string]Incarnation{}
+// AddPendingDeparture stores the departure of another node's backend server, which that node could not write to the store.
+func (d *Directory) AddPendingDeparture(address string, b Incarnation) {
+	if d.pendingDepartures == nil {
+		d.pendingDepartures = map[string]Incarnation{}
 	}
-	if _, known := d.pendingLeavings[address]; known || len(d.pendingLeavings) < maxNodes {
-		d.pendingLeavings[address] = b
+	if _, known := d.pendingDepartures[address]; known || len(d.pendingDepartures) < maxNodes {
+		d.pendingDepartures[address] = b
 	}
 }
 
-// Held returns the pending leaving of a node.
-func (d *Directory) Held(address string) (Incarnation, bool) {
-	b, ok := d.pendingLeavings[address]
+// PendingDeparture returns the pending departure of a node.
+func (d *Directory) PendingDeparture(address string) (Incarnation, bool) {
+	b, ok := d.pendingDepartures[address]
 	return b, ok
 }
--- a/mesh/backend.go
+++ b/mesh/backend.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 
 	"lovagelane/directory"
-	"lovagelane/hangup"
+	"lovagelane/disconnect"
 	"lovagelane/link"
 )
 
@@ -151,7 +151,7 @@
 	if err != nil {
 		return false
 	}
-	pending, closed := hangup.Peek(raw)
+	pending, closed := disconnect.Peek(raw)
 	return !pending && !closed
 }
 
@@ -161,7 +161,7 @@
 	if err != nil {
 		return exchangeResult{outcome: outcomeExpired, reason: "head-unreadable"}
 	}
-	b.n.deployment.Prepare(h, Passed{Remaining: remaining, Backend: id, Caller: j.m.Caller})
+	b.n.deployment.Prepare(h, ForwardMeta{Remaining: remaining, Backend: id, Caller: j.m.Caller})
 	maxIdle := defaultBackendIdleTimeout
 	if !j.m.Idempotent {
 		maxIdle = nonIdempotentIdleTimeout
@@ -207,14 +207,14 @@
 			k.close()
 			return readFailure(err)
 		}
-		reply := b.n.deployment.ReadAnswer(&resp.Header)
-		if reply.ID == j.m.RequestID || reply.ID == "" {
+		meta := b.n.deployment.ReadAnswer(&resp.Header)
+		if meta.ID == j.m.RequestID || meta.ID == "" {
 			if writeErr != nil {
 				resp.SetConnectionClose()
 			}
-			return b.classifyAnswer(j, k, resp, reply)
+			return b.classifyAnswer(j, k, resp, meta)
 		}
-		b.n.log.Warn("stray-answer", "request", j.m.RequestID, "answer-to", reply.ID)
+		b.n.log.Warn("stray-answer", "request", j.m.RequestID, "answer-to", meta.ID)
 	}
 	k.close()
 	return exchangeResult{outcome: outcomeLost, reason: "stray-answers"}
@@ -229,15 +229,15 @@
 }
 
 // classifyAnswer converts an answer to an exchangeResult and releases the connection.
-func (b *backend) classifyAnswer(j *job, k *backendConn, resp *fasthttp.Response, reply Reply) exchangeResult {
-	b.release(k, resp, reply)
+func (b *backend) classifyAnswer(j *job, k *backendConn, resp *fasthttp.Response, meta AnswerMeta) exchangeResult {
+	b.release(k, resp, meta)
 	switch {
-	case reply.OtherBackend:
+	case meta.OtherBackend:
 		return exchangeResult{outcome: outcomeRejected, reason: "other-backend-server", status: resp.StatusCode(), backendGone: true}
-	case reply.NotRun:
+	case meta.NotRun:
 		return exchangeResult{outcome: outcomeRejected, reason: "backend-server", status: resp.StatusCode()}
-	case !reply.Stamped || reply.ID == "":
-		b.n.log.Warn("answer-not-stamped", "request", j.m.RequestID, "status", resp.StatusCode(), "id", reply.ID)
+	case !meta.Signed || meta.ID == "":
+		b.n.log.Warn("answer-not-stamped", "request", j.m.RequestID, "status", resp.StatusCode(), "id", meta.ID)
 		return exchangeResult{outcome: outcomeLost, reason: "answer-not-stamped"}
 	}
 	return exchangeResult{outcome: outcomeAnswered, status: resp.StatusCode(), head: answerHead(&resp.Header),
@@ -246,13 +246,13 @@
 
 // release returns a connection to the idle ones. It closes it if the answer asks for that, if there are unread bytes, which
 // belong to no request, or if the answer is neither signed nor marked as not run.
-func (b *backend) release(k *backendConn, resp *fasthttp.Response, reply Reply) {
-	if resp.ConnectionClose() || k.r.Buffered() > 0 || !reply.Stamped && !reply.NotRun {
+func (b *backend) release(k *backendConn, resp *fasthttp.Response, meta AnswerMeta) {
+	if resp.ConnectionClose() || k.r.Buffered() > 0 || !meta.Signed && !meta.NotRun {
 		k.close()
 		return
 	}
-	if reply.IdleTimeout > 0 {
-		k.idleTimeout = time.Duration(idleTimeoutShare * float64(reply.IdleTimeout))
+	if meta.IdleTimeout > 0 {
+		k.idleTimeout = time.Duration(idleTimeoutShare * float64(meta.IdleTimeout))
 	}
 	b.pushIdle(b.n.clock.Now(), k)
 }
@@ -285,7 +285,7 @@
 	now := n.clock.Now()
 	n.mu.Lock()
 	current, _ := n.tracker.Current()
-	if current != b || !n.tracker.Lost() {
+	if current != b || !n.tracker.MarkUnreachable() {
 		n.mu.Unlock()
 		return
 	}
@@ -295,10 +295,10 @@
 			digests = append(digests, j.m.Digest)
 		}
 	}
-	reports := n.quarantine.Crashed(now, b.ID+"@"+time.UnixMilli(b.Born).UTC().Format(time.RFC3339Nano), digests)
+	reports := n.quarantine.Crashed(now, b.ID+"@"+time.UnixMilli(b.StartMillis).UTC().Format(time.RFC3339Nano), digests)
 	peers := n.updateCandidatesLocked()
 	n.mu.Unlock()
-	n.transport.Connect(peers)
+	n.transport.SetPersistentPeers(peers)
 	n.backend.closeIdle()
 	n.log.Warn("backend-server-lost", "id", b.ID, "why", reason, "running", len(digests))
 	n.metrics.Add("backend-server-losses", 1)
--- a/mesh/gossip.go
+++ b/mesh/gossip.go
@@ -9,16 +9,16 @@
 // storeGrace is how long a node that is behind another one waits for the update from the store before it pulls from it.
 const storeGrace = 400 * time.Millisecond
 
-// Greeting implements link.Handler.
-func (n *Node) Greeting() []byte {
+// Hello implements link.Handler.
+func (n *Node) Hello() []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return encode(helloMessage{Node: n.selfLocked(), Versions: n.versionsLocked()})
 }
 
-// Greeted implements link.Handler. It returns a kept departure to the node that it belongs to and pulls newer state at once,
+// HandleHello implements link.Handler. It returns a kept departure to the node that it belongs to and pulls newer state at once,
 // so that a node that has just started recovers from its peers.
-func (n *Node) Greeted(b []byte, reply func([]byte)) {
+func (n *Node) HandleHello(b []byte, reply func([]byte)) {
 	var hello helloMessage
 	if err := decode(b, &hello); err != nil {
 		n.log.Warn("greeting-malformed", "error", err)
@@ -29,7 +29,7 @@
 		n.recovery.firstPeerAt = n.clock.Now()
 	}
 	n.updateNodeLocked(hello.Node)
-	departed, ok := n.directory.Held(hello.Node.Address)
+	departed, ok := n.directory.PendingDeparture(hello.Node.Address)
 	n.mu.Unlock()
 	if ok {
 		reply(encode(gossipMessage{RecordedDeparture: &departure{Address: hello.Node.Address, Backend: departed}}))
@@ -43,11 +43,11 @@
 	if node.State == directory.Absent {
 		return
 	}
-	if n.directory.Seen(node) {
+	if n.directory.MergeReport(node) {
 		n.updateCandidatesLocked()
 	}
 	if node.State == directory.Serving {
-		n.chooser.Usable(node.Address)
+		n.chooser.MarkUsable(node.Address)
 	}
 }
 
@@ -66,8 +66,8 @@
 	return v
 }
 
-// Heard implements link.Handler.
-func (n *Node) Heard(b []byte, reply func([]byte)) {
+// HandleStatus implements link.Handler.
+func (n *Node) HandleStatus(b []byte, reply func([]byte)) {
 	var theirs versions
 	if err := decode(b, &theirs); err != nil {
 		n.log.Warn("status-malformed", "error", err)
@@ -101,8 +101,8 @@
 	return now.Sub(*since) >= grace
 }
 
-// Notice implements link.Handler.
-func (n *Node) Notice(b []byte, reply func([]byte)) {
+// HandleNotice implements link.Handler.
+func (n *Node) HandleNotice(b []byte, reply func([]byte)) {
 	var m gossipMessage
 	if err := decode(b, &m); err != nil {
 		n.log.Warn("notice-malformed", "error", err)
@@ -119,7 +119,7 @@
 	}
 	if m.KeepDeparture != nil {
 		n.mu.Lock()
-		n.directory.Hold(m.KeepDeparture.Address, m.KeepDeparture.Backend)
+		n.directory.AddPendingDeparture(m.KeepDeparture.Address, m.KeepDeparture.Backend)
 		n.mu.Unlock()
 		reply(encode(gossipMessage{DepartureKept: m.KeepDeparture}))
 	}
--- a/node/owned.go
+++ b/node/ticket.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 
 	"lovagelane/call"
-	"lovagelane/hangup"
+	"lovagelane/disconnect"
 	"lovagelane/ticket"
 )
 
@@ -21,7 +21,7 @@
 	issuer *ticket.Issuer
 
 	mu    sync.Mutex
-	owner *ticket.Owner
+	table *ticket.OwnerTable
 	// changed is closed and replaced whenever a request ends, to wake the resends that wait for it.
 	changed chan struct{}
 }
@@ -29,27 +29,27 @@
 func (o *ticketOwner) init(keys [][]byte, member, address string, started time.Time) {
 	o.issuer = ticket.NewIssuer(keys[0], member, address, started)
 	o.issuer.SetKeys(keys)
-	o.owner = ticket.NewOwner(member, started)
+	o.table = ticket.NewOwnerTable(member, started)
 	o.changed = make(chan struct{})
 }
 
-func (o *ticketOwner) begin(now time.Time, t ticket.Ticket, out *outbound) (ticket.Verdict, <-chan struct{}) {
+func (o *ticketOwner) begin(now time.Time, t ticket.Ticket, out *outbound) (ticket.Decision, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.owner.Begin(now, t, out.op.Service, out.digest), o.changed
+	return o.table.Begin(now, t, out.op.Service, out.digest), o.changed
 }
 
-// recheck returns the verdict for a request whose earlier verdict was Join.
-func (o *ticketOwner) recheck(now time.Time, t ticket.Ticket, out *outbound) (ticket.Verdict, <-chan struct{}) {
+// recheck returns the decision for a request whose earlier decision was Join.
+func (o *ticketOwner) recheck(now time.Time, t ticket.Ticket, out *outbound) (ticket.Decision, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.owner.Again(now, t, out.op.Service, out.digest), o.changed
+	return o.table.DecideAfterJoin(now, t, out.op.Service, out.digest), o.changed
 }
 
 func (o *ticketOwner) finish(now time.Time, seq uint64, a ticket.Answer, unused int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.owner.Finish(now, seq, a, unused)
+	o.table.Finish(now, seq, a, unused)
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
@@ -120,16 +120,16 @@
 func (n *Node) handleOwnTicket(ctx *fasthttp.RequestCtx, out *outbound, t ticket.Ticket) {
 	// All sends with one ticket are the same request and have the same priority value.
 	out.requestID = t.Owner[:min(8, len(t.Owner))] + "-" + strconv.FormatUint(t.Seq, 10)
-	out.priority.Value = out.priority.Value&call.FairValues | baseValue(n.ticketKeys[0], out.requestID)
+	out.priority.Value = out.priority.Value&call.FairShareValues | baseValue(n.ticketKeys[0], out.requestID)
 	timer := time.NewTimer(out.deadline.Sub(n.clock.Now()))
 	defer timer.Stop()
-	verdict, changed := n.ticketOwner.begin(n.clock.Now(), t, out)
+	decision, changed := n.ticketOwner.begin(n.clock.Now(), t, out)
 	for {
-		switch v := verdict.(type) {
+		switch v := decision.(type) {
 		case ticket.Run:
 			n.runTicketed(ctx, out, t, v.Allowance)
 			return
-		case ticket.Kept:
+		case ticket.Replay:
 			n.writeOutcome(ctx, out, v.Answer, out.op.Line.String())
 			return
 		case ticket.Refuse:
@@ -139,7 +139,7 @@
 		}
 		select {
 		case <-changed:
-			verdict, changed = n.ticketOwner.recheck(n.clock.Now(), t, out)
+			decision, changed = n.ticketOwner.recheck(n.clock.Now(), t, out)
 		case <-timer.C:
 			n.refuseCaller(ctx, &out.op, refusal(call.ReasonDeadline, call.OutcomeUnknown, out.op.TimeoutLine.String()))
 			return
@@ -150,7 +150,7 @@
 // runTicketed forwards the request and keeps its answer for resends. A caller that disconnects later does not cancel the
 // request, because its resend fetches the answer.
 func (n *Node) runTicketed(ctx *fasthttp.RequestCtx, out *outbound, t ticket.Ticket, allowance int) {
-	if hangup.Abandoned(ctx.Conn()) {
+	if disconnect.Abandoned(ctx.Conn()) {
 		n.ticketOwner.finish(n.clock.Now(), t.Seq, ticket.Answer{Outcome: call.OutcomeNotRun, Reason: call.ReasonCancelled}, allowance)
 		n.refuseCaller(ctx, &out.op, refusal(call.ReasonCancelled, call.OutcomeNotRun, out.op.Line.String()))
 		return
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// CrashBound is the number of backend servers that one request may crash before it is refused.
-	CrashBound = 2
+	// MaxCrashes is the number of backend servers that one request may crash before it is refused.
+	MaxCrashes = 2
 	// Period is the duration of a quarantine, from the last crash or the last refused send.
 	Period = 10 * time.Minute
 	// CrashTTL is how long the crashes of a digest are counted after its last event. It is longer than Period so that one more
@@ -47,7 +47,7 @@
 }
 
 func (e *entry) quarantined(now time.Time) bool {
-	return e.uncleared >= CrashBound && now.Before(e.quarantinedUntil)
+	return e.uncleared >= MaxCrashes && now.Before(e.quarantinedUntil)
 }
 
 // Table counts crashes by request digest. Its zero value is empty. The caller serializes access to it.
@@ -60,7 +60,7 @@
 func (t *Table) Refuses(now time.Time, digest uint64, crashes int) bool {
 	e := t.lookup(now, digest)
 	if e == nil || !e.quarantined(now) {
-		return crashes >= CrashBound
+		return crashes >= MaxCrashes
 	}
 	e.lastEvent, e.quarantinedUntil = now, now.Add(Period)
 	return true
@@ -126,7 +126,7 @@
 	return true
 }
 
-// Crashes returns the number of uncleared crashes of a digest. It is below CrashBound unless the digest is quarantined.
+// Crashes returns the number of uncleared crashes of a digest. It is below MaxCrashes unless the digest is quarantined.
 func (t *Table) Crashes(now time.Time, digest uint64) int {
 	e := t.lookup(now, digest)
 	switch {
@@ -135,7 +135,7 @@
 	case e.quarantined(now):
 		return e.uncleared
 	default:
-		return min(e.uncleared, CrashBound-1)
+		return min(e.uncleared, MaxCrashes-1)
 	}
 }
 
@@ -143,7 +143,7 @@
 func (t *Table) Len() int { return len(t.entries) }
 
 // makeRoom ensures that another crash can be stored, if necessary by removing a cleared one. It returns false when all stored
-// crashes are uncleared: the digest then has reached CrashBound without another crash.
+// crashes are uncleared: the digest then has reached MaxCrashes without another crash.
 func (e *entry) makeRoom() bool {
 	if len(e.crashes) < maxCrashesPerDigest {
 		return true
--- a/retry/hedges.go
+++ b/retry/hedges.go
@@ -8,15 +8,15 @@
 	halvingThreshold = 1000
 )
 
-// Hedges bounds the hedged requests of a node to a share of its recent calls. Its zero value is ready to use. The caller
+// HedgeBudget bounds the hedged requests of a node to a share of its recent calls. Its zero value is ready to use. The caller
 // serializes access to it.
-type Hedges struct {
+type HedgeBudget struct {
 	calls  int
 	hedges int
 }
 
-// Called counts a call that may be hedged.
-func (h *Hedges) Called() {
+// CountCall counts a call that may be hedged.
+func (h *HedgeBudget) CountCall() {
 	h.calls++
 	if h.calls >= halvingThreshold {
 		h.calls /= 2
@@ -24,8 +24,8 @@
 	}
 }
 
-// Take reports whether the share allows one more hedge, and counts it if so.
-func (h *Hedges) Take() bool {
+// Withdraw reports whether the share allows one more hedge, and counts it if so.
+func (h *HedgeBudget) Withdraw() bool {
 	if (h.hedges+1)*callsPerHedge > h.calls {
 		return false
 	}
--- a/retry/hedges_test.go
+++ b/retry/hedges_test.go
@@ -10,18 +10,18 @@
 )
 
 // Guards against hedges beyond 5% of the calls, and against a burst of more than 50 hedges that old calls allow.
-// Mutation: callsPerHedge = 19; Called without the halving.
+// Mutation: callsPerHedge = 19; CountCall without the halving.
 func TestHedgesAreAShareOfRecentCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h retry.Hedges
+		var h retry.HedgeBudget
 		calls, hedges := 0, 0
 		for _, n := range rapid.SliceOfN(rapid.IntRange(1, 3000), 1, 20).Draw(t, "calls") {
 			for range n {
-				h.Called()
+				h.CountCall()
 			}
 			calls += n
 			burst := 0
-			for h.Take() {
+			for h.Withdraw() {
 				burst++
 			}
 			hedges += burst
@@ -32,14 +32,14 @@
 }
 
 // Guards against hedges that are always denied, which would disable hedging.
-// Mutation: Take always false.
+// Mutation: Withdraw always false.
 func TestHedgesReachTheirShare(t *testing.T) {
-	var h retry.Hedges
-	require.False(t, h.Take())
+	var h retry.HedgeBudget
+	require.False(t, h.Withdraw())
 	hedges := 0
 	for range 10000 {
-		h.Called()
-		if h.Take() {
+		h.CountCall()
+		if h.Withdraw() {
 			hedges++
 		}
 	}
--- a/testbed/config.go
+++ b/testbed/config.go
@@ -15,8 +15,8 @@
 	Slots, Connections int
 	Timeout            time.Duration
 	Calls              []string
-	// Backend holds additional flags of the stand-in backend servers, such as --service-time=10ms.
-	Backend []string
+	// BackendFlags holds additional flags of the stand-in backend servers, such as --service-time=10ms.
+	BackendFlags []string
 }
 
 // Region returns the region of an availability zone: the part of its name before the last dash.
--- a/ticket/owner_test.go
+++ b/ticket/owner_test.go
@@ -16,11 +16,11 @@
 type ownerNode struct {
 	t require.TestingT
 	*ticket.Issuer
-	*ticket.Owner
+	*ticket.OwnerTable
 }
 
 func newOwnerNode(t require.TestingT) ownerNode {
-	return ownerNode{t, ticket.NewIssuer([]byte("key"), "here", "10.0.0.1:1", start), ticket.NewOwner("here", start)}
+	return ownerNode{t, ticket.NewIssuer([]byte("key"), "here", "10.0.0.1:1", start), ticket.NewOwnerTable("here", start)}
 }
 
 func (o ownerNode) ticket(now time.Time) ticket.Ticket {
@@ -29,7 +29,7 @@
 	return got
 }
 
-func (o ownerNode) begin(now time.Time, t ticket.Ticket) ticket.Verdict {
+func (o ownerNode) begin(now time.Time, t ticket.Ticket) ticket.Decision {
 	return o.Begin(now, t, "payments", 1)
 }
 
@@ -39,38 +39,38 @@
 )
 
 // Guards against a ticket that runs twice, or that runs for a request, service or owner other than that of its first use.
-func TestOwnerRunsATicketOnce(t *testing.T) {
+func TestOwnerTableRunsATicketOnce(t *testing.T) {
 	o := newOwnerNode(t)
 	tkt := o.ticket(start)
 	invalid := refusal(call.ReasonTicketInvalid, call.OutcomeNotRun)
 	require.Equal(t, invalid, o.Begin(start, tkt, "nursery", 1))
-	require.Equal(t, ticket.Run{Allowance: retry.Bound}, o.begin(start, tkt))
+	require.Equal(t, ticket.Run{Allowance: retry.MaxRetriesPerSend}, o.begin(start, tkt))
 	require.Equal(t, ticket.Join{}, o.begin(start, tkt))
 	require.Equal(t, invalid, o.Begin(start, tkt, "payments", 2))
 
 	o.Finish(start, tkt.Seq, ranAnswer, 2)
 	o.Finish(start, tkt.Seq, notRunAnswer, 2)
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, o.begin(start, tkt))
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, o.Again(start, tkt, "payments", 1))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, o.begin(start, tkt))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, o.DecideAfterJoin(start, tkt, "payments", 1))
 	require.Equal(t, invalid, o.Begin(start, tkt, "payments", 2))
 
 	unknown := o.ticket(start)
 	o.begin(start, unknown)
 	o.Finish(start, unknown.Seq, ticket.Answer{Outcome: call.OutcomeUnknown}, 3)
-	require.IsType(t, ticket.Kept{}, o.begin(start, unknown), "an unknown outcome is final")
+	require.IsType(t, ticket.Replay{}, o.begin(start, unknown), "an unknown outcome is final")
 
-	other := ticket.NewOwner("restarted", start)
+	other := ticket.NewOwnerTable("restarted", start)
 	require.Equal(t, refusal(call.ReasonOwnerGone, call.OutcomeUnknown), other.Begin(start, tkt, "payments", 1))
 }
 
 // Guards against a ticket that runs again, or is reported as "not run", after the owner pruned it, also when the clock jumps.
-func TestOwnerPrunesOnlyExpiredTickets(t *testing.T) {
+func TestOwnerTablePrunesOnlyExpiredTickets(t *testing.T) {
 	o := newOwnerNode(t)
 	unused, used, long := o.ticket(start), o.ticket(start), o.ticket(start)
 	o.begin(start, used)
 	o.Finish(start, used.Seq, ranAnswer, 0)
 	o.begin(start, long)
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, o.begin(start.Add(ticket.Lifetime-1), used))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, o.begin(start.Add(ticket.Lifetime-1), used))
 
 	require.Equal(t, expiredRefusal, o.begin(start.Add(ticket.Lifetime), used))
 	end := start.Add(ticket.Lifetime + time.Second)
@@ -88,7 +88,7 @@
 }
 
 // Guards against a full table that drops a ticket before it expires or grows beyond its bound.
-func TestOwnerRefusesNewTicketsWhenFull(t *testing.T) {
+func TestOwnerTableRefusesNewTicketsWhenFull(t *testing.T) {
 	o := newOwnerNode(t)
 	first := o.ticket(start)
 	o.begin(start, first)
@@ -98,14 +98,14 @@
 	require.Equal(t, refusal(call.ReasonBusy, call.OutcomeNotRun), o.begin(start, o.ticket(start)))
 	require.Equal(t, ticket.MaxTickets, o.Len())
 	o.Finish(start, first.Seq, ranAnswer, 0)
-	require.Equal(t, ticket.Kept{Answer: ranAnswer}, o.begin(start, first))
+	require.Equal(t, ticket.Replay{Answer: ranAnswer}, o.begin(start, first))
 	end := start.Add(ticket.Lifetime)
-	require.Equal(t, ticket.Run{Allowance: retry.Bound}, o.begin(end, o.ticket(end)))
+	require.Equal(t, ticket.Run{Allowance: retry.MaxRetriesPerSend}, o.begin(end, o.ticket(end)))
 }
 
 // Guards against resends that add retries beyond the bound, and against resends that are not counted because they joined a
 // run.
-func TestOwnerCountsResends(t *testing.T) {
+func TestOwnerTableCountsResends(t *testing.T) {
 	o := newOwnerNode(t)
 	spent := refusal(call.ReasonRetriesSpent, call.OutcomeNotRun)
 	end := func(tkt ticket.Ticket, unused int) { o.Finish(start, tkt.Seq, notRunAnswer, unused) }
@@ -126,20 +126,20 @@
 		require.Equal(t, ticket.Join{}, o.begin(start, joined))
 	}
 	end(joined, 3)
-	require.Equal(t, spent, o.Again(start, joined, "payments", 1))
+	require.Equal(t, spent, o.DecideAfterJoin(start, joined, "payments", 1))
 
 	waited := o.ticket(start)
 	o.begin(start, waited)
 	end(waited, 3)
-	require.Equal(t, spent, o.Again(start, waited, "payments", 1), "the request was not resent")
+	require.Equal(t, spent, o.DecideAfterJoin(start, waited, "payments", 1), "the request was not resent")
 	o.begin(start, waited)
 	o.begin(start, waited)
 	end(waited, 0)
-	require.Equal(t, ticket.Run{}, o.Again(start, waited, "payments", 1), "the second resend has no retry of its own")
+	require.Equal(t, ticket.Run{}, o.DecideAfterJoin(start, waited, "payments", 1), "the second resend has no retry of its own")
 }
 
 // Guards against an order of sends and ends in which the retries of a request exceed the bound.
-func TestOwnerBoundsRetriesOfARequest(t *testing.T) {
+func TestOwnerTableBoundsRetriesOfARequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOwnerNode(t)
 		tkt := o.ticket(start)
@@ -159,6 +159,6 @@
 			retries, given = retries+used, given-used
 			o.Finish(start, tkt.Seq, notRunAnswer, given)
 		}
-		require.LessOrEqual(t, retries, retry.RequestBound)
+		require.LessOrEqual(t, retries, retry.MaxRetriesPerRequest)
 	})
 }
