--- a/admission/controller.go
+++ b/admission/controller.go
@@ -181,7 +181,7 @@
 func (c *Controller) Finish(now time.Time, id uint64, s Sample) []Event {
 	op, started, ok := c.running.finish(id)
 	if !ok {
-		return c.events()
+		return c.flushEvents()
 	}
 	c.lastFinish = now
 	c.window.served++
@@ -191,8 +191,8 @@
 		})
 		c.ops.all.observe(now, s.Latency)
 	}
-	c.dispatch(now)
-	return c.events()
+	c.startQueued(now)
+	return c.flushEvents()
 }
 
 // Cancel removes a queued call whose caller cancelled it; no event follows for it. A call in flight must be ended with
@@ -207,7 +207,7 @@
 		dropped, ok := event.(Dropped)
 		return ok && dropped.ID == id
 	})
-	return c.events()
+	return c.flushEvents()
 }
 
 // Tick updates the level and drops queued calls that would miss their deadline or are no longer admitted. It must be called
@@ -225,9 +225,9 @@
 	for c.queue.len() > c.queueBound(now) {
 		c.drop(c.queue.leastImportant(), call.ReasonQueueFull)
 	}
-	c.dispatch(now)
+	c.startQueued(now)
 	c.closeWindow(now)
-	return c.events()
+	return c.flushEvents()
 }
 
 // Level returns the least important priority that is currently admitted.
@@ -280,8 +280,8 @@
 	}
 }
 
-// dispatch starts queued calls while slots are free.
-func (c *Controller) dispatch(now time.Time) {
+// startQueued starts queued calls while slots are free.
+func (c *Controller) startQueued(now time.Time) {
 	for c.queue.len() > 0 {
 		limit := c.limit(now)
 		if c.running.len() >= limit {
@@ -360,7 +360,8 @@
 	c.window = window{start: now, saturated: c.running.len() >= c.learnedLimit(), minQueueLen: c.queue.len()}
 }
 
-func (c *Controller) events() []Event {
+// flushEvents returns the pending events and removes them.
+func (c *Controller) flushEvents() []Event {
 	events := c.pending
 	c.pending = nil
 	return events
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -138,7 +138,7 @@
 
 // Guards against a queued call that gets no event or more than one, a start beyond the limit, shedding a call while a less
 // important one of the same window is admitted, and an unbounded queue. The steps are random.
-// Mutation: Cancel without queue.remove, Cancel without the removal from pending, dispatch without the limit.
+// Mutation: Cancel without queue.remove, Cancel without the removal from pending, startQueued without the limit.
 func TestSettlesEveryCallOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 40).Draw(t, "slots")
@@ -216,7 +216,7 @@
 			item.Deadline = m.now.Add(time.Duration(m.id%100) * time.Millisecond)
 		}
 		key := int(item.Priority.Key())
-		switch v := m.c.Arrive(m.now, item).(type) {
+		switch decision := m.c.Arrive(m.now, item).(type) {
 		case admission.Start:
 			m.start(item.ID)
 			m.maxAdmittedKey = max(m.maxAdmittedKey, key)
@@ -224,7 +224,7 @@
 			m.queued[item.ID] = item
 			m.maxAdmittedKey = max(m.maxAdmittedKey, key)
 		case admission.Refuse:
-			if v.Reason == call.ReasonShed {
+			if decision.Reason == call.ReasonShed {
 				m.minShedKey = min(m.minShedKey, key)
 			}
 		}
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -17,7 +17,7 @@
 	// Latency is relative to the reference latency of the call's operation, so that it does not depend on the mix of
 	// operations; 0 means that the operation has no reference yet.
 	Latency float64
-	// Saturated is set when the limit was reached in the current window.
+	// Saturated is set when the limit was reached since the last update of the admission level.
 	Saturated bool
 	Slots     int
 }
--- a/admission/operation.go
+++ b/admission/operation.go
@@ -10,8 +10,8 @@
 const (
 	// maxOperations bounds the table of operations.
 	maxOperations = 256
-	// latencyWindow is the number of latest calls of an operation whose median is its service time.
-	latencyWindow = 15
+	// latencyWindowSize is the number of latest calls of an operation whose median is its service time.
+	latencyWindowSize = 15
 	// minTrustedCalls is the number of calls from which the median of an operation is used.
 	minTrustedCalls = 5
 	// estimateHalfLife is the time without a finished call after which the estimate halves. Without it, an estimate from a
@@ -33,8 +33,9 @@
 
 // operation holds the latest latencies and the calls in flight of one operation.
 type operation struct {
-	latencies [latencyWindow]time.Duration
-	n         int
+	latencies [latencyWindowSize]time.Duration
+	// count is the number of latencies recorded since the operation was added.
+	count int
 	// serviceTime is the median of latencies; it at most doubles per doublingInterval.
 	serviceTime        time.Duration
 	serviceTimeChanged time.Time
@@ -53,8 +54,8 @@
 	return op
 }
 
-// othersSince reports whether a call of another operation arrived after t.
-func (o *operations) othersSince(op *operation, t time.Time) bool {
+// othersArrivedSince reports whether a call of another operation arrived after t.
+func (o *operations) othersArrivedSince(op *operation, t time.Time) bool {
 	found := false
 	o.table.Retain(func(_ string, other *operation) bool {
 		found = found || other != op && other.lastArrival.After(t)
@@ -66,14 +67,14 @@
 // observe records a latency and returns it relative to the reference, or 0 while there is no reference.
 func (o *operation) observe(now time.Time, latency time.Duration) float64 {
 	latency = max(latency, 1)
-	o.latencies[o.n%latencyWindow] = latency
-	o.n++
+	o.latencies[o.count%latencyWindowSize] = latency
+	o.count++
 	sorted := o.latencies
-	recent := sorted[:min(o.n, latencyWindow)]
+	recent := sorted[:min(o.count, latencyWindowSize)]
 	slices.Sort(recent)
 	o.updateServiceTime(now, recent[len(recent)/2])
 	if o.reference == 0 {
-		if o.n < minTrustedCalls {
+		if o.count < minTrustedCalls {
 			return 0
 		}
 		o.reference = o.serviceTime
@@ -84,7 +85,7 @@
 // updateServiceTime sets the service time from the median and bounds its growth.
 func (o *operation) updateServiceTime(now time.Time, median time.Duration) {
 	switch {
-	case o.n <= minTrustedCalls || median < o.serviceTime:
+	case o.count <= minTrustedCalls || median < o.serviceTime:
 		o.serviceTime, o.serviceTimeChanged = median, now
 	case now.Sub(o.serviceTimeChanged) >= doublingInterval:
 		o.serviceTime, o.serviceTimeChanged = min(median, 2*o.serviceTime), now
@@ -95,7 +96,7 @@
 // estimate returns the expected service time of a call, or 0 if it is unknown.
 func (o *operation) estimate(now time.Time) time.Duration {
 	age := now.Sub(o.lastObserved) / estimateHalfLife
-	if o.n < minTrustedCalls || age > 30 {
+	if o.count < minTrustedCalls || age > 30 {
 		return 0
 	}
 	return o.serviceTime >> max(age, 0)
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -91,7 +91,8 @@
 	tests := []struct {
 		name    string
 		backend backend
-		// from is 1 s after the end of the fault, and minimum is the lower bound of the limit from then on.
+		// from is 1 s after the end of the fault. From then on, minimum is the lower bound of the limit, and good is the minimum
+		// share of the calls that finish in time; 0 means that the goodput is compared with the reduced capacity instead.
 		from    time.Duration
 		minimum int
 		good    float64
--- a/admission/running.go
+++ b/admission/running.go
@@ -9,7 +9,8 @@
 	restrictDivisor = 4
 	// reserveDivisor sets the number of slots that are then reserved for other operations: limit/reserveDivisor.
 	reserveDivisor = 8
-	// restrictInterval is the time for which the restriction stays after its cause has ended.
+	// restrictInterval is the time for which the restriction stays after its cause has ended. A restriction starts only if a
+	// call of another operation arrived within that time.
 	restrictInterval = time.Second
 )
 
@@ -68,10 +69,10 @@
 	}
 	for _, r := range s.calls {
 		baseline := r.op.stragglerBaseline()
-		if r.op.n < minTrustedCalls {
+		if r.op.count < minTrustedCalls {
 			baseline = ops.all.stragglerBaseline()
 		}
-		if ops.all.n >= minTrustedCalls && now.Sub(r.started) > stragglerFactor*baseline {
+		if ops.all.count >= minTrustedCalls && now.Sub(r.started) > stragglerFactor*baseline {
 			r.op.stragglers++
 			s.stragglers++
 		}
@@ -94,7 +95,7 @@
 	}
 	before := b.restricted
 	switch {
-	case top != nil && top.stragglers >= max(1, limit/restrictDivisor) && ops.othersSince(top, now.Add(-restrictInterval)):
+	case top != nil && top.stragglers >= max(1, limit/restrictDivisor) && ops.othersArrivedSince(top, now.Add(-restrictInterval)):
 		b.restricted, b.until = top, now.Add(restrictInterval)
 	case now.After(b.until):
 		b.restricted = nil
--- a/admission/sim_test.go
+++ b/admission/sim_test.go
@@ -41,15 +41,15 @@
 
 type eventHeap []scheduledEvent
 
-func (a eventHeap) Len() int           { return len(a) }
-func (a eventHeap) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a eventHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *eventHeap) Push(x any)        { *a = append(*a, x.(scheduledEvent)) }
-func (a *eventHeap) Pop() any {
-	old := *a
-	m := old[len(old)-1]
-	*a = old[:len(old)-1]
-	return m
+func (h eventHeap) Len() int           { return len(h) }
+func (h eventHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h eventHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)        { *h = append(*h, x.(scheduledEvent)) }
+func (h *eventHeap) Pop() any {
+	old := *h
+	e := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return e
 }
 
 type job struct {
@@ -97,9 +97,9 @@
 	}
 	s.schedule(0, s.tick)
 	for len(s.events) > 0 && s.events[0].at < length {
-		m := heap.Pop(&s.events).(scheduledEvent)
-		s.now = m.at
-		m.fire()
+		e := heap.Pop(&s.events).(scheduledEvent)
+		s.now = e.at
+		e.fire()
 	}
 	return s
 }
@@ -135,13 +135,13 @@
 		Caller: st.caller, Deadline: s.time().Add(st.timeout),
 	}}
 	s.resultOf(j).offered++
-	switch v := s.c.Arrive(s.time(), j.item).(type) {
+	switch decision := s.c.Arrive(s.time(), j.item).(type) {
 	case admission.Start:
 		s.start(j)
 	case admission.Wait:
 		s.queued[j.item.ID] = j
 	case admission.Refuse:
-		s.recordRefusal(j, v.Reason)
+		s.recordRefusal(j, decision.Reason)
 	}
 }
 
--- a/balance/chooser_test.go
+++ b/balance/chooser_test.go
@@ -15,7 +15,7 @@
 
 var (
 	good = balance.Result{Latency: 10 * time.Millisecond, Outcome: call.OutcomeRan, Answered: true, Level: call.LeastImportant}
-	// important and bulk lie on the two sides of level.
+	// level admits important and refuses bulk.
 	important = call.Priority{Rank: 1}
 	level     = call.Priority{Rank: 4, Value: 64}
 	bulk      = call.Priority{Rank: 6}
@@ -274,12 +274,12 @@
 func TestOneSlowBackendServer(t *testing.T) {
 	for _, rate := range []float64{100, 1000, 5000} {
 		for _, straggle := range []float64{0, 0.004} {
-			usual := simulate(t, "least-loaded", rate, straggle, 20*time.Second, sixServers()).p99()
+			baseline := simulate(t, "least-loaded", rate, straggle, 20*time.Second, sixServers()).p99()
 			for name, slow := range map[string]func(time.Duration) float64{"from the start": fixed(10), "later": step(5*time.Second, 10)} {
 				servers := sixServers()
-				servers["s0"].slow = slow
+				servers["s0"].slowdown = slow
 				s := simulate(t, "least-loaded", rate, straggle, 20*time.Second, servers)
-				require.LessOrEqual(t, s.p99(), usual*3/2, "%v calls a second, slow %s", rate, name)
+				require.LessOrEqual(t, s.p99(), baseline*3/2, "%v calls a second, slow %s", rate, name)
 				require.Positive(t, s.callsBetween("s0", 10*time.Second, 20*time.Second))
 			}
 		}
--- a/balance/sim_test.go
+++ b/balance/sim_test.go
@@ -32,8 +32,9 @@
 
 // server is a simulated backend server with slots and a queue.
 type server struct {
-	slow  func(at time.Duration) float64
-	stall [2]time.Duration
+	// slowdown is the factor by which a call that starts at a given time takes longer.
+	slowdown func(at time.Duration) float64
+	stall    [2]time.Duration
 	// refuseAll makes the server refuse every call at once.
 	refuseAll bool
 	free      []time.Duration
@@ -117,8 +118,8 @@
 	if r.Float64() < straggle {
 		took = float64(500 * time.Millisecond)
 	}
-	if s.slow != nil {
-		took *= s.slow(now)
+	if s.slowdown != nil {
+		took *= s.slowdown(now)
 	}
 	i := 0
 	for j := range s.free {
--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -119,6 +119,7 @@
 	typical   *kernel.LRU[string, float64]
 }
 
+// peer holds the observations of a candidate.
 type peer struct {
 	candidate Candidate
 	load      slots.Load
--- a/ingress/shares.go
+++ b/ingress/shares.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// maxClasses and maxCallers bound the tables of classes and callers; callers beyond them have no history.
+	// maxClasses and maxCallers bound the tables of classes and of the callers of one class. Beyond them, the least recently
+	// used entry is evicted and its counts are lost.
 	maxClasses = 64
 	maxCallers = 1024
 	// shareInterval is the period at which the fair share is computed.
@@ -47,8 +48,8 @@
 }
 
 // Value counts a request and returns its priority value: base (0..127) within the caller's fair share, base+128 beyond it.
-func (s *Shares) Value(now time.Time, name, caller string, base uint8) uint8 {
-	c := s.class(now, name)
+func (s *Shares) Value(now time.Time, className, caller string, base uint8) uint8 {
+	c := s.class(now, className)
 	c.requests++
 	u := c.callers.GetOrAdd(caller)
 	u.requests++
@@ -62,13 +63,13 @@
 
 // RecordRefusal counts a request of the class that was shed anywhere in the call graph. A class is contended while its
 // requests are refused; otherwise no request is marked as excess.
-func (s *Shares) RecordRefusal(now time.Time, name string) { s.class(now, name).refused++ }
+func (s *Shares) RecordRefusal(now time.Time, className string) { s.class(now, className).refused++ }
 
-func (s *Shares) class(now time.Time, name string) *class {
+func (s *Shares) class(now time.Time, className string) *class {
 	if s.classes == nil {
 		s.classes = kernel.NewLRU[string, class](maxClasses)
 	}
-	c := s.classes.GetOrAdd(name)
+	c := s.classes.GetOrAdd(className)
 	if c.callers == nil {
 		c.callers = kernel.NewLRU[string, callerUsage](maxCallers)
 		c.lastComputed = now
--- a/retry/requests.go
+++ b/retry/requests.go
@@ -43,8 +43,8 @@
 type sendKey struct{ caller, request uint64 }
 
 // failuresByResend counts the sends without a good answer by their resend number. Each of them turns one later equal send
-// into its resend. Therefore concurrent equal requests of one caller, such as a workshop with many browsers, are not resends
-// of each other.
+// into its resend. Therefore concurrent equal requests of one caller, such as those of a workshop with many browsers, are not
+// resends of each other.
 type failuresByResend [maxSends]int
 
 // Begin records a send and returns its resend number, 0 for a first send. Every Begin must be followed by an End.
--- a/retry/requests_test.go
+++ b/retry/requests_test.go
@@ -35,55 +35,55 @@
 		"another id":                      {{byID, 0, false}, {retry.Send{Caller: "truck 4", RequestID: "r2", Digest: 1}, 0, false}, {page, 0, false}},
 	}
 	for name, steps := range cases {
-		var requests retry.ResendDetector
+		var detector retry.ResendDetector
 		for i, s := range steps {
-			n := requests.Begin(start, s.send)
+			n := detector.Begin(start, s.send)
 			require.Equal(t, s.want, n, "%s, step %d", name, i)
-			requests.End(start, s.send, n, s.good)
+			detector.End(start, s.send, n, s.good)
 		}
 	}
 }
 
 // Guards against the browsers of one workshop that exhaust each other's resends by requesting the same page concurrently.
 func TestConcurrentEqualRequestsAreNotResends(t *testing.T) {
-	var requests retry.ResendDetector
+	var detector retry.ResendDetector
 	page := retry.Send{Caller: "workshop", Digest: 1}
 	for want := range 3 {
 		for range 20 {
-			require.Equal(t, want, requests.Begin(start, page))
+			require.Equal(t, want, detector.Begin(start, page))
 		}
 		for range 20 {
-			requests.End(start, page, want, false)
+			detector.End(start, page, want, false)
 		}
 	}
 }
 
 // Guards against a user whose later requests still count as resends of an old failure, and against entries that never expire.
 func TestRequestsExpire(t *testing.T) {
-	var requests retry.ResendDetector
+	var detector retry.ResendDetector
 	page := retry.Send{Caller: "truck 4", Digest: 1}
 	byID := retry.Send{Caller: "truck 4", RequestID: "r1"}
-	require.Zero(t, requests.Begin(start, byID))
-	require.Equal(t, 1, requests.Begin(start.Add(retry.IDLifetime-1), byID))
-	require.Zero(t, requests.Begin(start.Add(retry.IDLifetime), byID))
-	requests.End(start, page, 0, false)
+	require.Zero(t, detector.Begin(start, byID))
+	require.Equal(t, 1, detector.Begin(start.Add(retry.IDLifetime-1), byID))
+	require.Zero(t, detector.Begin(start.Add(retry.IDLifetime), byID))
+	detector.End(start, page, 0, false)
 	last := start.Add(retry.DigestLifetime - 1)
-	require.Equal(t, 1, requests.Begin(last, page))
-	requests.End(last, page, 1, false)
-	require.Zero(t, requests.Begin(start.Add(retry.DigestLifetime), page), "counted from the first failure")
-	require.Equal(t, 1, requests.Len())
+	require.Equal(t, 1, detector.Begin(last, page))
+	detector.End(last, page, 1, false)
+	require.Zero(t, detector.Begin(start.Add(retry.DigestLifetime), page), "counted from the first failure")
+	require.Equal(t, 1, detector.Len())
 }
 
 // Guards against tables that callers can grow without bound.
 func TestRequestsAreBounded(t *testing.T) {
-	var requests retry.ResendDetector
+	var detector retry.ResendDetector
 	for n := range retry.MaxRequests + 10 {
-		requests.Begin(start, retry.Send{Caller: fmt.Sprint(n), RequestID: "r"})
-		requests.End(start, retry.Send{Caller: fmt.Sprint(n), Digest: 1}, 0, false)
+		detector.Begin(start, retry.Send{Caller: fmt.Sprint(n), RequestID: "r"})
+		detector.End(start, retry.Send{Caller: fmt.Sprint(n), Digest: 1}, 0, false)
 	}
-	require.Equal(t, 2*retry.MaxRequests, requests.Len())
-	require.Zero(t, requests.Begin(start, retry.Send{Caller: "0", Digest: 1}), "the oldest entry is evicted first")
-	require.Equal(t, 1, requests.Begin(start, retry.Send{Caller: "11", Digest: 1}))
+	require.Equal(t, 2*retry.MaxRequests, detector.Len())
+	require.Zero(t, detector.Begin(start, retry.Send{Caller: "0", Digest: 1}), "the oldest entry is evicted first")
+	require.Equal(t, 1, detector.Begin(start, retry.Send{Caller: "11", Digest: 1}))
 }
 
 // Guards against a backend server that repeats inner calls without a withdrawal from its parent's budget.
--- a/retry/window.go
+++ b/retry/window.go
@@ -16,9 +16,9 @@
 	maxWindowServices = 1024
 )
 
-// WindowBudgets bounds the repeats that all nodes together send to each service in a sliding window. The nodes do not coordinate:
-// every node uses the part that its own requests allow, and its part of the fixed allowance. The caller serializes access to
-// it. Its zero value allows no repeats.
+// WindowBudgets bounds the repeats that all nodes together send to each service in a sliding window. A repeat is a further
+// attempt of a request by a node. The nodes do not coordinate: every node uses the part that its own requests allow, and its
+// part of the fixed allowance. The caller serializes access to it. Its zero value allows no repeats.
 type WindowBudgets struct {
 	// Ratio is the allowed number of repeats relative to the number of requests in a window.
 	Ratio float64
--- a/slots/caps.go
+++ b/slots/caps.go
@@ -11,11 +11,11 @@
 	maxLateShare = 0.15
 	// capDecrease is the fraction by which a cap is lowered when all runs are late; it scales with the share of late runs.
 	capDecrease = 0.7
-	// nearIncrease is the fraction by which a cap is raised near the limit of the last decrease, and farIncrease elsewhere.
+	// nearIncrease is the fraction by which a cap is raised near the value from which it was last lowered, and farIncrease
+	// elsewhere.
 	nearIncrease = 0.02
 	farIncrease  = 0.08
-	// nearBelow and nearAbove are the range around the limit of the last decrease, as multiples of it, where nearIncrease
-	// applies.
+	// nearBelow and nearAbove bound the range in which nearIncrease applies, as multiples of routeCap.lastDecreaseFrom.
 	nearBelow = 0.85
 	nearAbove = 1.15
 	// minCapShare is the minimum cap as a fraction of the slots, so that enough runs finish to raise the cap again.
@@ -32,17 +32,19 @@
 	routes *kernel.LRU[string, routeCap]
 }
 
+// routeCap holds the cap of one route and the counts of the current window.
 type routeCap struct {
+	// limit is the cap; 0 means that no call has arrived.
 	limit   float64
 	running int
 	// maxRunning is the maximum number of concurrent runs in the window.
 	maxRunning int
 	finished   int
 	late       int
-	// decreases counts the decreases of the limit. A run that was admitted before the last decrease does not reflect the
-	// current limit.
+	// decreases counts the decreases of the cap, and Admit returns it as the generation. A run that was admitted before the
+	// last decrease does not reflect the current cap.
 	decreases int
-	// lastDecreaseFrom is the limit before the last decrease, or maxRunning if that was lower.
+	// lastDecreaseFrom is the cap before the last decrease, or maxRunning if that was lower.
 	lastDecreaseFrom float64
 }
 
@@ -104,7 +106,7 @@
 	r.finished, r.late, r.maxRunning = 0, 0, r.running
 }
 
-// increase returns the fraction by which the cap is raised. It is small near the last decrease, because a persisting overload
+// increase returns the fraction by which the cap is raised. It is small near lastDecreaseFrom, because a persisting overload
 // recurs there.
 func (r *routeCap) increase() float64 {
 	if r.limit > nearBelow*r.lastDecreaseFrom && r.limit < nearAbove*r.lastDecreaseFrom {
--- a/slots/heap.go
+++ b/slots/heap.go
@@ -4,11 +4,11 @@
 type entry struct {
 	call Call
 	seq  uint64
-	// index holds the position in each heap.
+	// index holds the position in each heap, by byStart and byExpiry.
 	index [2]int
 }
 
-// before reports whether e starts before other.
+// startsBefore reports whether e starts before other.
 func (e *entry) startsBefore(other *entry) bool {
 	if e.call.Rank != other.call.Rank {
 		return e.call.Rank < other.call.Rank
--- a/slots/queue_test.go
+++ b/slots/queue_test.go
@@ -31,13 +31,13 @@
 	require.Equal(t, slots.Wait{}, q.Arrive(start, call(3, 1, time.Minute)))
 	require.Equal(t, slots.Wait{}, q.Arrive(start, call(4, 0, time.Minute)))
 	for _, want := range []uint64{4, 3, 2} {
-		before := map[uint64]uint64{4: 1, 3: 4, 2: 3}[want]
-		require.Equal(t, []slots.Event{slots.Started{ID: want}}, q.Finish(before, time.Millisecond))
+		finished := map[uint64]uint64{4: 1, 3: 4, 2: 3}[want]
+		require.Equal(t, []slots.Event{slots.Started{ID: want}}, q.Finish(finished, time.Millisecond))
 	}
 }
 
-// Guards against queueing a call whose estimated wait exceeds its latest start, and against refusing a call although only less
-// important calls wait.
+// Guards against queueing a call that is estimated to start after its latest start, and against refusing a call although only
+// less important calls wait.
 func TestCallIsRefusedAtOnceWhenTheWaitIsTooLong(t *testing.T) {
 	q := queue(1)
 	q.Arrive(start, call(1, 2, 0))
