--- a/admission/queue.go
+++ b/admission/queue.go
@@ -93,6 +93,7 @@
 }
 
 // setRestricted moves the calls of the restricted operation to the restricted queue, and all others to the unrestricted one.
+// The moved calls keep the order of byImportance there, not the order of arrival.
 func (q *queue) setRestricted(op *operation) {
 	for _, e := range q.byImportance {
 		isRestricted := op != nil && e.op == op
@@ -127,7 +128,7 @@
 	}
 }
 
-// callerQueue holds the calls of one caller in a band in order of arrival; the queues of a band form a ring.
+// callerQueue holds the calls of one caller in a band in order of insertion; the queues of a band form a ring.
 type callerQueue struct {
 	caller         string
 	band           int
