--- a/call/meta.go
+++ b/call/meta.go
@@ -34,19 +34,24 @@
 
 // Meta is the metadata that a node sends with a call to another node.
 type Meta struct {
-	Version       uint8    `cbor:"1,keyasint"`
-	RequestID     string   `cbor:"2,keyasint"`
-	Attempt       Attempt  `cbor:"3,keyasint"`
-	Operation     string   `cbor:"4,keyasint"`
-	Priority      Priority `cbor:"5,keyasint"`
-	RemainingMS   uint32   `cbor:"6,keyasint"`
-	Allowance     uint8    `cbor:"7,keyasint"`
-	Depth         uint8    `cbor:"8,keyasint"`
-	Crashes       uint8    `cbor:"9,keyasint"`
-	NonIdempotent bool     `cbor:"10,keyasint,omitempty"`
-	Digest        uint64   `cbor:"11,keyasint"`
-	Region        string   `cbor:"12,keyasint"`
-	Caller        string   `cbor:"13,keyasint"`
+	Version     uint8    `cbor:"1,keyasint"`
+	RequestID   string   `cbor:"2,keyasint"`
+	Attempt     Attempt  `cbor:"3,keyasint"`
+	Operation   string   `cbor:"4,keyasint"`
+	Priority    Priority `cbor:"5,keyasint"`
+	RemainingMS uint32   `cbor:"6,keyasint"`
+	// Allowance is the number of retries that the receiver may use for its downstream calls.
+	Allowance uint8 `cbor:"7,keyasint"`
+	// Depth is the number of calls above this one in the call chain.
+	Depth uint8 `cbor:"8,keyasint"`
+	// Crashes is the number of backend servers that the request is known to have crashed.
+	Crashes       uint8  `cbor:"9,keyasint"`
+	NonIdempotent bool   `cbor:"10,keyasint,omitempty"`
+	Digest        uint64 `cbor:"11,keyasint"`
+	// Region is the region of the sender.
+	Region string `cbor:"12,keyasint"`
+	// Caller is the name under which the fair share of the original caller is counted.
+	Caller string `cbor:"13,keyasint"`
 	// Rule is the file and line of the rule that set the class.
 	Rule string `cbor:"14,keyasint"`
 }
@@ -63,16 +68,18 @@
 
 // AnswerMeta is the metadata that a node returns with the answer to a call.
 type AnswerMeta struct {
-	Version   uint8   `cbor:"1,keyasint"`
-	Outcome   Outcome `cbor:"2,keyasint"`
-	Reason    Reason  `cbor:"3,keyasint,omitempty"`
-	Rule      string  `cbor:"4,keyasint,omitempty"`
-	Allowance uint8   `cbor:"5,keyasint"`
+	Version uint8   `cbor:"1,keyasint"`
+	Outcome Outcome `cbor:"2,keyasint"`
+	Reason  Reason  `cbor:"3,keyasint,omitempty"`
+	Rule    string  `cbor:"4,keyasint,omitempty"`
+	// Allowance is the unused part of Meta.Allowance.
+	Allowance uint8 `cbor:"5,keyasint"`
 	// Level is the most restrictive admission level that applied to the call and its downstream calls.
-	Level     Priority `cbor:"6,keyasint"`
-	Load      Load     `cbor:"7,keyasint"`
-	Crashes   uint8    `cbor:"8,keyasint,omitempty"`
-	ServiceUS uint32   `cbor:"9,keyasint"`
+	Level   Priority `cbor:"6,keyasint"`
+	Load    Load     `cbor:"7,keyasint"`
+	Crashes uint8    `cbor:"8,keyasint,omitempty"`
+	// ServiceUS is the service time of the backend server in microseconds, without the time in the queue.
+	ServiceUS uint32 `cbor:"9,keyasint"`
 	// OwnLevel is the admission level of the answering node alone.
 	OwnLevel Priority `cbor:"10,keyasint"`
 }
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -50,7 +50,7 @@
 	ReasonNoConfiguration Reason = "no-configuration"
 	// ReasonUnknownService means that the service is not in the inventory.
 	ReasonUnknownService Reason = "unknown-service"
-	// ReasonRetriesSpent means that the request has used its whole retry bound.
+	// ReasonRetriesSpent means that the request has used all its retries.
 	ReasonRetriesSpent Reason = "retries-spent"
 	// ReasonTicketRequired means that a non-idempotent request came without a ticket.
 	ReasonTicketRequired Reason = "ticket-required"
@@ -62,7 +62,7 @@
 	ReasonOwnerGone Reason = "owner-gone"
 	// ReasonQuarantined means that the request crashed backend servers before.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonFenced means that the attempt was fenced before it arrived.
+	// ReasonFenced means that the attempt was fenced before it arrived, or is addressed to another incarnation of the receiver.
 	ReasonFenced Reason = "fenced"
 	// ReasonBodyTooLarge means that the body exceeds the limit.
 	ReasonBodyTooLarge Reason = "body-too-large"
--- a/control/config.go
+++ b/control/config.go
@@ -17,14 +17,14 @@
 type loadedConfig struct {
 	version uint64
 	hash    string
-	body    []byte
+	text    []byte
 	config  *inventory.Config
 }
 
 func (c *Control) loadedVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.adopter.LocalVersion()
+	return c.adopter.LoadedVersion()
 }
 
 // recordPeerVersion records the configuration version that a peer has loaded and pulls the text if that version is higher.
@@ -47,29 +47,29 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.loaded.version >= version && c.loaded.version > 0 {
-		p.send(configText{Version: c.loaded.version, Hash: c.loaded.hash, Body: c.loaded.body})
+		p.send(configText{Version: c.loaded.version, Hash: c.loaded.hash, Text: c.loaded.text})
 	}
 }
 
 func (c *Control) handleConfigText(p *peer, f configText) {
-	if rollout.Hash(f.Body) != f.Hash {
+	if rollout.Hash(f.Text) != f.Hash {
 		c.metrics.Add("control-texts-damaged", 1)
 		c.log.Warn("config-text-damaged", "version", f.Version, "peer", p.id)
 		return
 	}
-	c.loadConfig(f.Version, f.Hash, f.Body)
+	c.loadConfig(f.Version, f.Hash, f.Text)
 }
 
 // loadConfig parses the text of a higher version, stores it and notifies all peers. A text that this release cannot parse is
 // skipped, so that the current configuration stays in force.
-func (c *Control) loadConfig(version uint64, hash string, body []byte) {
+func (c *Control) loadConfig(version uint64, hash string, text []byte) {
 	c.mu.Lock()
 	wanted := c.adopter.IsNewer(version)
 	c.mu.Unlock()
 	if !wanted {
 		return
 	}
-	config, err := parseConfig(version, body)
+	config, err := parseConfig(version, text)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
@@ -78,17 +78,17 @@
 		c.log.Error("config-unreadable", "version", version, "error", err)
 		return
 	}
-	if !c.adopter.SetLocalVersion(c.now(), version) {
+	if !c.adopter.SetLoadedVersion(c.now(), version) {
 		return
 	}
-	c.loaded = loadedConfig{version: version, hash: hash, body: body, config: config}
+	c.loaded = loadedConfig{version: version, hash: hash, text: text, config: config}
 	for p := range c.peers {
 		p.send(configNotice{Version: version, Hash: hash})
 	}
 }
 
-func parseConfig(version uint64, body []byte) (*inventory.Config, error) {
-	files, err := rollout.Decode(body)
+func parseConfig(version uint64, text []byte) (*inventory.Config, error) {
+	files, err := rollout.Decode(text)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 
 // adopt puts the loaded version in force if the adopter allows it. The caller must hold c.mu.
 func (c *Control) adopt(now time.Time) {
-	if c.adopter.LocalVersion() == c.adopter.InForce() {
+	if c.adopter.LoadedVersion() == c.adopter.InForce() {
 		return
 	}
 	version, ok := c.adopter.Adopt(now, c.regionPeerIDs(), c.synced)
@@ -149,14 +149,14 @@
 	if !wanted {
 		return
 	}
-	body, ok, err := c.store.Object(ctx, accepted.Hash)
+	text, ok, err := c.store.Object(ctx, accepted.Hash)
 	c.recordStoreResult("object", err)
 	switch {
 	case err != nil:
-	case !ok || rollout.Hash(body) != accepted.Hash:
+	case !ok || rollout.Hash(text) != accepted.Hash:
 		c.log.Error("config-object-missing", "version", accepted.Version, "hash", accepted.Hash)
 	default:
-		c.loadConfig(accepted.Version, accepted.Hash, body)
+		c.loadConfig(accepted.Version, accepted.Hash, text)
 	}
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -28,9 +28,10 @@
 
 // Options configures a Control.
 type Options struct {
-	Self    membership.Member
-	Listen  string
-	Seeds   []string
+	Self   membership.Member
+	Listen string
+	Seeds  []string
+	// Store is the base URL of the store, or empty for a node that runs without it.
 	Store   string
 	Keyring *keys.Keyring
 	Clock   kernel.Clock
@@ -64,13 +65,13 @@
 	renewNow     chan struct{}
 
 	// mu guards the fields below. It is never held during I/O or a callback.
-	mu          sync.Mutex
-	view        *membership.View
-	rings       membership.Rings
-	ringsRoster uint64
+	mu                 sync.Mutex
+	view               *membership.View
+	rings              membership.Rings
+	ringsRosterVersion uint64
 	// ringsConfigVersion is the version of the configuration that gave the members' regions when the rings were built.
 	ringsConfigVersion uint64
-	// cachedOthers is the result of otherMembers at the view change cachedChanges.
+	// cachedOthers is the result of otherMembers when the view's change count was cachedChanges.
 	cachedOthers  []membership.Member
 	cachedChanges uint64
 	peers         map[*peer]struct{}
@@ -311,8 +312,8 @@
 		case <-c.changed:
 		}
 		c.mu.Lock()
-		members, inForce, current := []membership.Member(nil), c.inForce, c.view.ChangeCount()
-		if current != lastChanges {
+		members, inForce, changes := []membership.Member(nil), c.inForce, c.view.ChangeCount()
+		if changes != lastChanges {
 			members = slices.Clone(c.otherMembers())
 		}
 		c.mu.Unlock()
@@ -322,8 +323,8 @@
 				c.options.OnConfig(inForce.config)
 			}
 		}
-		if current != lastChanges {
-			lastChanges = current
+		if changes != lastChanges {
+			lastChanges = changes
 			if c.options.OnMembers != nil {
 				c.options.OnMembers(members)
 			}
--- a/control/fault_test.go
+++ b/control/fault_test.go
@@ -117,7 +117,7 @@
 	before, _ := childMember(nodes[0])
 
 	require.NoError(t, process.Signal(syscall.SIGSTOP))
-	eventually(t, "the frozen child is removed", allHaveChild(nodes, false))
+	eventually(t, "the paused child is removed", allHaveChild(nodes, false))
 	require.NoError(t, process.Signal(syscall.SIGCONT))
 	eventually(t, "the resumed child is accepted again", allHaveChild(nodes, true))
 	after, _ := childMember(nodes[0])
--- a/control/frame.go
+++ b/control/frame.go
@@ -81,7 +81,7 @@
 	configText struct {
 		Version uint64 `cbor:"1,keyasint"`
 		Hash    string `cbor:"2,keyasint"`
-		Body    []byte `cbor:"3,keyasint"`
+		Text    []byte `cbor:"3,keyasint"`
 	}
 	crash struct {
 		Reports []quarantine.Report `cbor:"1,keyasint"`
@@ -225,7 +225,7 @@
 			return errors.New("hash too long")
 		}
 	case configText:
-		if len(f.Hash) > maxHashBytes || len(f.Body) > rollout.MaxTextBytes {
+		if len(f.Hash) > maxHashBytes || len(f.Text) > rollout.MaxTextBytes {
 			return errors.New("hash or configuration text too long")
 		}
 	case crash:
--- a/control/frame_test.go
+++ b/control/frame_test.go
@@ -45,7 +45,7 @@
 		diff{Buckets: repeat(63, membership.DigestBuckets), Members: repeat(maxMember(), membersPerFrame), Last: true},
 		configNotice{Version: 7, Hash: rollout.Hash(nil)},
 		configPull{Version: 7},
-		configText{Version: 7, Hash: rollout.Hash(nil), Body: make([]byte, rollout.MaxTextBytes)},
+		configText{Version: 7, Hash: rollout.Hash(nil), Text: make([]byte, rollout.MaxTextBytes)},
 		crash{Reports: repeat(report, reportsPerFrame)},
 	}
 	var stream bytes.Buffer
@@ -88,7 +88,7 @@
 		{"body of another type", rawFrame(t, kindHeartbeat, "text"), errMalformed},
 		{"large frame that is no text",
 			rawFrame(t, kindAnnounce, announce{Members: repeat(maxMember(), 2*membersPerFrame)}), errMalformed},
-		{"text beyond its bound", rawFrame(t, kindConfigText, configText{Body: make([]byte, rollout.MaxTextBytes+1)}), errMalformed},
+		{"text beyond its bound", rawFrame(t, kindConfigText, configText{Text: make([]byte, rollout.MaxTextBytes+1)}), errMalformed},
 		{"short digest", rawFrame(t, kindDigest, digest{Buckets: []uint64{1}}), errMalformed},
 		{"hello without a member", rawFrame(t, kindHello, hello{}), errMalformed},
 		{"too many items", rawFrame(t, kindDiff, diff{Buckets: make([]int, maxListItems+1)}), errMalformed},
--- a/control/handle.go
+++ b/control/handle.go
@@ -38,7 +38,7 @@
 func (c *Control) hello() hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return hello{Member: c.view.Self(), ConfigVersion: c.adopter.LocalVersion()}
+	return hello{Member: c.view.Self(), ConfigVersion: c.adopter.LoadedVersion()}
 }
 
 // rejectWrongPeer reports whether the peer is this node itself or another member than the wanted one. If another member
@@ -115,9 +115,9 @@
 
 func (c *Control) mergeSuspicions(p *peer, suspicions []membership.Suspicion) {
 	c.mu.Lock()
-	for _, k := range suspicions {
-		if c.view.MergeSuspicion(c.now(), k) {
-			c.pendingFlood[k.ID] = p
+	for _, s := range suspicions {
+		if c.view.MergeSuspicion(c.now(), s) {
+			c.pendingFlood[s.ID] = p
 		}
 	}
 	c.mu.Unlock()
--- a/control/helper_test.go
+++ b/control/helper_test.go
@@ -114,19 +114,19 @@
 	maxInbound                  int
 }
 
-func startNode(t testing.TB, p nodeOptions) *testNode {
+func startNode(t testing.TB, o nodeOptions) *testNode {
 	t.Helper()
 	n := &testNode{}
 	tuned := fastTuning(sharedKeys())
-	tuned.store = p.store
-	if p.maxInbound > 0 {
-		tuned.maxInbound = p.maxInbound
+	tuned.store = o.store
+	if o.maxInbound > 0 {
+		tuned.maxInbound = o.maxInbound
 	}
 	c, err := start(context.Background(), Options{
-		Self:   membership.Member{ID: p.id, Service: "maps", Region: p.region, AvailabilityZone: p.region + "-1", Control: p.control},
-		Listen: listenOrLoopback(p.listen),
-		Seeds:  p.seeds,
-		Rand:   kernel.NewRand(uint64(len(p.id)) + uint64(time.Now().UnixNano())),
+		Self:   membership.Member{ID: o.id, Service: "maps", Region: o.region, AvailabilityZone: o.region + "-1", Control: o.control},
+		Listen: listenOrLoopback(o.listen),
+		Seeds:  o.seeds,
+		Rand:   kernel.NewRand(uint64(len(o.id)) + uint64(time.Now().UnixNano())),
 		OnConfig: func(cfg *inventory.Config) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
--- a/control/rings_test.go
+++ b/control/rings_test.go
@@ -21,13 +21,13 @@
 // the store is unavailable.
 func TestRingsUseConfiguredRegions(t *testing.T) {
 	n := startNode(t, nodeOptions{id: "self", region: "rn"})
-	body, err := rollout.Encode(configFiles())
+	text, err := rollout.Encode(configFiles())
 	require.NoError(t, err)
 	n.Control.mu.Lock()
 	n.view.Merge(n.now(), membership.Member{ID: "other", Counter: 1, Service: "maps", AvailabilityZone: "rn-1",
 		Control: "127.0.0.1:1", State: membership.StateStarting})
 	n.Control.mu.Unlock()
-	n.loadConfig(1, rollout.Hash(body), body)
+	n.loadConfig(1, rollout.Hash(text), text)
 	eventually(t, "the node has a watcher for the member", func() bool {
 		n.Control.mu.Lock()
 		defer n.Control.mu.Unlock()
@@ -69,8 +69,8 @@
 		}
 		require.True(t, c.listDue(listed.Add(-time.Hour)), "each node must list at rareListInterval")
 	}
-	require.LessOrEqual(t, frequent, membership.LinkNodes)
-	require.GreaterOrEqual(t, frequent, membership.LinkNodes-1, "node self may be one of the link nodes")
+	require.LessOrEqual(t, frequent, membership.LinkNodesPerRegion)
+	require.GreaterOrEqual(t, frequent, membership.LinkNodesPerRegion-1, "node self may be one of the link nodes")
 }
 
 // Guards against a separate write for each state change of a starting node. When all nodes of an availability zone start at
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -115,9 +115,9 @@
 				c.view.Merge(c.now(), m)
 			}
 			c.mu.Unlock()
-			body, err := rollout.Encode(configFiles())
+			text, err := rollout.Encode(configFiles())
 			require.NoError(b, err)
-			c.loadConfig(1, rollout.Hash(body), body)
+			c.loadConfig(1, rollout.Hash(text), text)
 			// The tick that puts the version in force does more work than the ticks after it.
 			eventually(b, "in force", func() bool { return c.Status().Version == 1 })
 			b.ReportAllocs()
--- a/control/status.go
+++ b/control/status.go
@@ -55,7 +55,7 @@
 		Version:        c.inForce.version,
 		Hash:           c.inForce.hash,
 		InForceSince:   c.inForceAt,
-		LoadedVersion:  c.adopter.LocalVersion(),
+		LoadedVersion:  c.adopter.LoadedVersion(),
 		HighestVersion: c.adopter.HighestKnown(),
 		Store:          c.storeStatus,
 	}
--- a/control/watch.go
+++ b/control/watch.go
@@ -22,11 +22,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
+	// A node that knows only one other member is not isolated without a peer: otherwise it would never remove that member.
 	isolated := len(c.peers) == 0 && c.view.Len() > 2
 	for _, id := range c.view.Tick(now, isolated) {
 		c.log.Warn("member-removed", "member", id, "reason", "suspicion not refuted")
 	}
-	c.updatePlace(now)
+	c.updateRegionAndSlots(now)
 	if now.Sub(c.refutedAt) >= c.tuning.refuteInterval && c.view.Refute(now) {
 		c.refutedAt = now
 		c.pendingFlood[c.view.Self().ID] = nil
@@ -38,9 +39,9 @@
 	signal(c.changed)
 }
 
-// updatePlace sets this node's region and slots from the loaded configuration, or before there is one the region from the
-// announcements of other members. The caller must hold c.mu.
-func (c *Control) updatePlace(now time.Time) {
+// updateRegionAndSlots sets this node's region and slots from the loaded configuration. Before there is one, it sets the region
+// from the announcements of other members. The caller must hold c.mu.
+func (c *Control) updateRegionAndSlots(now time.Time) {
 	self := c.view.Self()
 	if self.State == membership.StateLeft {
 		return
@@ -113,8 +114,8 @@
 		// Stop still needs the connections to announce that the node has left.
 		return
 	}
-	if c.view.RosterVersion() != c.ringsRoster || c.loaded.version != c.ringsConfigVersion {
-		c.ringsRoster, c.ringsConfigVersion = c.view.RosterVersion(), c.loaded.version
+	if c.view.RosterVersion() != c.ringsRosterVersion || c.loaded.version != c.ringsConfigVersion {
+		c.ringsRosterVersion, c.ringsConfigVersion = c.view.RosterVersion(), c.loaded.version
 		c.rings = membership.NewRings(c.withConfiguredRegions(c.view.Live()))
 		c.adopter.RetainPeers(c.view.IsLive)
 	}
--- a/event/log_test.go
+++ b/event/log_test.go
@@ -61,31 +61,31 @@
 		clock := clockAt(start)
 		l := event.New(&out, clock)
 		// The model is a token bucket for each name, with 10 tokens and a refill of one per second.
-		tokens, filled := map[string]int{"a": 10, "b": 10}, map[string]time.Time{}
-		held, want := map[string]int{}, ""
+		tokens, refilledAt := map[string]int{"a": 10, "b": 10}, map[string]time.Time{}
+		suppressed, want := map[string]int{}, ""
 		for range rapid.IntRange(1, 10).Draw(t, "n") {
 			now := clock.Advance(time.Duration(rapid.SampledFrom([]int{0, 300, 1000, 4500, 60000}).Draw(t, "ms")) *
 				time.Millisecond)
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
-			if filled[name].IsZero() {
-				filled[name] = now
+			if refilledAt[name].IsZero() {
+				refilledAt[name] = now
 			}
-			for now.Sub(filled[name]) >= time.Second {
-				tokens[name], filled[name] = min(tokens[name]+1, 10), filled[name].Add(time.Second)
+			for now.Sub(refilledAt[name]) >= time.Second {
+				tokens[name], refilledAt[name] = min(tokens[name]+1, 10), refilledAt[name].Add(time.Second)
 			}
 			for range rapid.IntRange(1, 15).Draw(t, "lines") {
 				l.Info(name)
 				if tokens[name] == 0 {
-					held[name]++
+					suppressed[name]++
 					continue
 				}
 				tokens[name]--
 				want += "event=" + name
-				if held[name] > 0 {
-					want += fmt.Sprintf(" suppressed=%d", held[name])
+				if suppressed[name] > 0 {
+					want += fmt.Sprintf(" suppressed=%d", suppressed[name])
 				}
 				want += "\n"
-				held[name] = 0
+				suppressed[name] = 0
 			}
 		}
 		var got string
@@ -123,8 +123,8 @@
 	require.Equal(t, 40, strings.Count(out.String(), " key=value\n"))
 }
 
-// Guards against lines about single requests that get the default rate limit, so that requests can't be traced.
-func TestAllowSetsTheRateOfAnEvent(t *testing.T) {
+// Guards against lines about single requests that get the default rate limit, which is too low to trace requests.
+func TestSetRateSetsTheRateOfAnEvent(t *testing.T) {
 	var out bytes.Buffer
 	clock := &kernel.ManualClock{}
 	l := event.New(&out, clock)
--- a/event/metrics_test.go
+++ b/event/metrics_test.go
@@ -14,7 +14,8 @@
 	"lovagelane/kernel"
 )
 
-// Guards against metrics that are not valid JSON, that mix kinds or labels, or that Var copies instead of reading them later.
+// Guards against metrics that are not valid JSON, that mix kinds or labels, or that are read when Var is called instead of when
+// its result is rendered.
 func TestMetricsAsJSON(t *testing.T) {
 	clock := clockAt(start)
 	m := event.NewMetricsAt(clock)
@@ -124,7 +125,7 @@
 		model := map[int64][2]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
-			series := rapid.IntRange(0, 1).Draw(t, "lane")
+			series := rapid.IntRange(0, 1).Draw(t, "series")
 			w.Add(now, series, 1)
 			counts := model[now.Unix()]
 			counts[series]++
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -73,7 +73,7 @@
 // Members returns the members listed in the store, or those in the view of the given node if node is not empty.
 func (f *Fleet) Members(ctx context.Context, store, node string) ([]membership.Member, error) {
 	if node != "" {
-		return f.membersSeenBy(ctx, node)
+		return f.membersInViewOf(ctx, node)
 	}
 	client, err := tablestore.NewClient(store, 0)
 	if err != nil {
@@ -100,9 +100,9 @@
 	LeaseMillis int64             `json:"lease-ms"`
 }
 
-func (a memberRow) lease() time.Duration { return time.Duration(a.LeaseMillis) * time.Millisecond }
+func (r memberRow) lease() time.Duration { return time.Duration(r.LeaseMillis) * time.Millisecond }
 
-func (f *Fleet) membersSeenBy(ctx context.Context, node string) ([]membership.Member, error) {
+func (f *Fleet) membersInViewOf(ctx context.Context, node string) ([]membership.Member, error) {
 	var status struct {
 		Member  membership.Member   `json:"member"`
 		Members []membership.Member `json:"members"`
--- a/membership/member.go
+++ b/membership/member.go
@@ -34,11 +34,13 @@
 	Service          string `cbor:"3,keyasint" json:"service"`
 	Region           string `cbor:"4,keyasint" json:"region"`
 	AvailabilityZone string `cbor:"5,keyasint" json:"availability-zone"`
-	Calls            string `cbor:"6,keyasint" json:"calls"`
-	Control          string `cbor:"7,keyasint" json:"control"`
-	Callers          string `cbor:"8,keyasint" json:"callers"`
-	Slots            int    `cbor:"9,keyasint" json:"slots"`
-	State            State  `cbor:"10,keyasint" json:"state"`
+	// Calls, Control and Callers are the addresses of the node's listeners for calls from other nodes, for control
+	// connections and for callers.
+	Calls   string `cbor:"6,keyasint" json:"calls"`
+	Control string `cbor:"7,keyasint" json:"control"`
+	Callers string `cbor:"8,keyasint" json:"callers"`
+	Slots   int    `cbor:"9,keyasint" json:"slots"`
+	State   State  `cbor:"10,keyasint" json:"state"`
 	// Suspected is set by watchers that cannot reach the member; the member refutes the suspicion with a higher counter.
 	Suspected bool `cbor:"11,keyasint,omitempty" json:"suspected,omitempty"`
 	// Dead is set when a suspicion is not refuted in time, or when another member answers at the address of this one.
--- a/membership/rings.go
+++ b/membership/rings.go
@@ -10,8 +10,8 @@
 
 const (
 	ringCount = 2
-	// LinkNodes is the number of members of a region that maintain links to the other regions.
-	LinkNodes = 4
+	// LinkNodesPerRegion is the number of members of a region that maintain links to the other regions.
+	LinkNodesPerRegion = 4
 )
 
 // salts are hash salts that make the rings and the choice of link nodes independent of each other.
@@ -47,7 +47,7 @@
 			g.rings[i] = sortedPoints(salts[i], members)
 		}
 		for _, p := range sortedPoints(salts[ringCount], members) {
-			if len(g.links) == LinkNodes {
+			if len(g.links) == LinkNodesPerRegion {
 				break
 			}
 			g.links = append(g.links, *p.member)
--- a/membership/view.go
+++ b/membership/view.go
@@ -105,14 +105,14 @@
 
 // MergeSuspicion merges a suspicion or death of a member and reports whether the view changed. It has no effect unless the
 // view contains the announcement that the suspicion refers to.
-func (v *View) MergeSuspicion(now time.Time, k Suspicion) bool {
-	e, ok := v.entries[k.ID]
-	if !ok || e.member.Counter != k.Counter {
+func (v *View) MergeSuspicion(now time.Time, s Suspicion) bool {
+	e, ok := v.entries[s.ID]
+	if !ok || e.member.Counter != s.Counter {
 		return false
 	}
 	m := e.member
 	m.Suspected = true
-	m.Dead = m.Dead || k.Dead
+	m.Dead = m.Dead || s.Dead
 	return v.Merge(now, m)
 }
 
@@ -129,8 +129,8 @@
 }
 
 // SetState announces a new state of the own member.
-func (v *View) SetState(now time.Time, s State) {
-	v.self.State = s
+func (v *View) SetState(now time.Time, state State) {
+	v.self.State = state
 	v.announce(now)
 }
 
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -111,8 +111,8 @@
 		live      bool
 		suspected bool
 	}{
-		{"mark for an unknown member", func(v *membership.View) { v.MergeSuspicion(start, membership.Suspicion{ID: "z", Counter: 1}) }, true, false},
-		{"mark for an old announcement", func(v *membership.View) {
+		{"unknown member suspected", func(v *membership.View) { v.MergeSuspicion(start, membership.Suspicion{ID: "z", Counter: 1}) }, true, false},
+		{"old announcement suspected", func(v *membership.View) {
 			v.Merge(start, member("b", 2))
 			v.MergeSuspicion(start, membership.Suspicion{ID: "b", Counter: 1})
 		}, true, false},
@@ -241,7 +241,7 @@
 		for i, from := range regions {
 			for _, to := range regions[i+1:] {
 				if perRegion[from] > 0 && perRegion[to] > 0 {
-					require.Equal(t, min(perRegion[from], membership.LinkNodes), linked[from+to])
+					require.Equal(t, min(perRegion[from], membership.LinkNodesPerRegion), linked[from+to])
 				}
 			}
 		}
--- a/rollout/adopter.go
+++ b/rollout/adopter.go
@@ -20,9 +20,9 @@
 // Adopter decides when a node puts a configuration version in force; its zero value has no version. The caller serializes
 // access to it.
 type Adopter struct {
-	inForce      uint64
-	localVersion uint64
-	localSince   time.Time
+	inForce       uint64
+	loadedVersion uint64
+	loadedAt      time.Time
 	// storeVersion is the version that is accepted in the store, set once the store has answered.
 	storeVersion kernel.Option[uint64]
 	peerVersions map[string]uint64
@@ -31,27 +31,27 @@
 // InForce returns the version in force, or 0 for none.
 func (a *Adopter) InForce() uint64 { return a.inForce }
 
-// LocalVersion returns the highest version whose text the node has, or 0 for none.
-func (a *Adopter) LocalVersion() uint64 { return a.localVersion }
+// LoadedVersion returns the highest version whose text the node has, or 0 for none.
+func (a *Adopter) LoadedVersion() uint64 { return a.loadedVersion }
 
 // IsNewer reports whether a version is higher than the highest version whose text the node has.
-func (a *Adopter) IsNewer(version uint64) bool { return version > a.localVersion }
+func (a *Adopter) IsNewer(version uint64) bool { return version > a.loadedVersion }
 
 // HighestKnown returns the highest version known from this node, the store and the current peers.
 func (a *Adopter) HighestKnown() uint64 {
-	highest := max(a.localVersion, a.storeVersion.Or(0))
+	highest := max(a.loadedVersion, a.storeVersion.Or(0))
 	for _, version := range a.peerVersions {
 		highest = max(highest, version)
 	}
 	return highest
 }
 
-// SetLocalVersion records that the node has the text of a version, and reports whether the version is higher than before.
-func (a *Adopter) SetLocalVersion(now time.Time, version uint64) bool {
-	if version <= a.localVersion {
+// SetLoadedVersion records that the node has the text of a version, and reports whether the version is higher than before.
+func (a *Adopter) SetLoadedVersion(now time.Time, version uint64) bool {
+	if version <= a.loadedVersion {
 		return false
 	}
-	a.localVersion, a.localSince = version, now
+	a.loadedVersion, a.loadedAt = version, now
 	return true
 }
 
@@ -83,19 +83,19 @@
 // PeerVersion returns the highest version that a peer has reported, or 0 for none.
 func (a *Adopter) PeerVersion(id string) uint64 { return a.peerVersions[id] }
 
-// Adopt puts the local version in force if that is safe, and returns it. The region lists the other members of the own
+// Adopt puts the loaded version in force if that is safe, and returns it. The region lists the other members of the own
 // region; complete reports whether that list came from a peer or the store and not from this node alone.
 func (a *Adopter) Adopt(now time.Time, region []string, complete bool) (uint64, bool) {
-	if a.localVersion <= a.inForce {
+	if a.loadedVersion <= a.inForce {
 		return 0, false
 	}
 	if a.inForce == 0 && !a.canAdoptFirst(region, complete) {
 		return 0, false
 	}
-	if a.confirmations() < ConfirmingPeers && now.Sub(a.localSince) < ConfirmTimeout {
+	if a.confirmations() < ConfirmingPeers && now.Sub(a.loadedAt) < ConfirmTimeout {
 		return 0, false
 	}
-	a.inForce = a.localVersion
+	a.inForce = a.loadedVersion
 	return a.inForce, true
 }
 
@@ -103,7 +103,7 @@
 // that was in force in its region. Peers without a configuration only count when every known peer has answered, because they
 // do not know what was in force.
 func (a *Adopter) canAdoptFirst(region []string, complete bool) bool {
-	if a.localVersion < a.HighestKnown() {
+	if a.loadedVersion < a.HighestKnown() {
 		return false
 	}
 	if _, ok := a.storeVersion.Get(); ok {
@@ -125,7 +125,7 @@
 func (a *Adopter) confirmations() int {
 	n := 0
 	for _, version := range a.peerVersions {
-		if version >= a.localVersion {
+		if version >= a.loadedVersion {
 			n++
 		}
 	}
--- a/rollout/adopter_test.go
+++ b/rollout/adopter_test.go
@@ -37,12 +37,12 @@
 		{"both known peers answered", region[:2], true, 0, reported("a", "b"), 5},
 		{"the view is not complete yet", region[:2], false, time.Hour, reported("a", "b"), 0},
 		{"no other member in the region", nil, true, 0, reported("x", "y"), 5},
-		{"empty peers do not count as three", region, true, time.Hour, func(a *rollout.Adopter) {
+		{"peers without a version do not count as three", region, true, time.Hour, func(a *rollout.Adopter) {
 			reported("a")(a)
 			a.SetPeerVersion("b", 0)
 			a.SetPeerVersion("c", 0)
 		}, 0},
-		{"empty peers count when all answered", region, true, 2 * time.Second, func(a *rollout.Adopter) {
+		{"peers without a version count when all answered", region, true, 2 * time.Second, func(a *rollout.Adopter) {
 			reported("a")(a)
 			for _, id := range region[1:] {
 				a.SetPeerVersion(id, 0)
@@ -67,7 +67,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var a rollout.Adopter
-			a.SetLocalVersion(start, 5)
+			a.SetLoadedVersion(start, 5)
 			c.do(&a)
 			got, ok := a.Adopt(start.Add(c.after), c.region, c.complete)
 			require.Equal(t, c.want, got)
@@ -86,7 +86,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "seconds")) * time.Second)
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				a.SetLocalVersion(now, version.Draw(t, "held"))
+				a.SetLoadedVersion(now, version.Draw(t, "loaded"))
 			case 1:
 				a.SetStoreVersion(version.Draw(t, "stored"))
 			case 2:
@@ -96,7 +96,7 @@
 			}
 			if got, ok := a.Adopt(now, []string{"a", "b", "c"}, true); ok {
 				require.Greater(t, got, last)
-				require.Equal(t, a.LocalVersion(), got)
+				require.Equal(t, a.LoadedVersion(), got)
 				last = got
 			}
 			require.Equal(t, last, a.InForce())
--- a/rollout/apply.go
+++ b/rollout/apply.go
@@ -26,7 +26,8 @@
 	Base uint64
 	// Current is the accepted configuration; its version is 0 when the store has none.
 	Current Accepted
-	// Since lists the configurations that were accepted after the base, oldest first. It omits those that could not be read.
+	// Since lists the configurations that were accepted after the base, oldest first. It omits those that
+	// could not be read and has at most maxListedConflicts entries.
 	Since []Accepted
 }
 
@@ -193,6 +194,7 @@
 	return Accepted{}, true, stale
 }
 
+// maxListedConflicts bounds StaleError.Since.
 const maxListedConflicts = 10
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/rollout/text.go
+++ b/rollout/text.go
@@ -67,7 +67,8 @@
 	Hash    string `json:"hash"`
 	// ApplyID is random for each apply, so that a re-read can show whether a transaction without an answer took effect.
 	ApplyID string `json:"apply-id"`
-	By      string `json:"by"`
+	// By is the operator who applied the configuration.
+	By string `json:"by"`
 }
 
 // ParseRow decodes and validates a row of the config table.
--- a/tablestore/client.go
+++ b/tablestore/client.go
@@ -259,7 +259,8 @@
 	return wire
 }
 
-// PutObject stores an object. Storing the same content again has no effect.
+// PutObject stores an object. Storing the same content again has no effect. A put that got no response also returns
+// *UnavailableError, although the object may have been stored.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	path := "/objects/" + url.PathEscape(name)
 	status, body, err := c.do(ctx, request{method: fasthttp.MethodPut, path: path, body: data, http: c.defaultHTTP})
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -22,7 +22,7 @@
 )
 
 var (
-	// ErrOversized is the class of errors for tickets longer than MaxToken.
+	// ErrOversized is the class of errors for tickets longer than MaxTokenBytes.
 	ErrOversized = errs.Class("oversized ticket")
 	// ErrMalformed is the class of errors for tickets that cannot be decoded.
 	ErrMalformed = errs.Class("malformed ticket")
@@ -33,7 +33,8 @@
 // Ticket is the idempotency key of a request, bound to the incarnation of the node that issued it.
 type Ticket struct {
 	// Owner is the member id of the issuing node; each start of the process has a new one.
-	Owner   string `cbor:"1,keyasint"`
+	Owner string `cbor:"1,keyasint"`
+	// Address is the calls address of the issuing node.
 	Address string `cbor:"2,keyasint"`
 	Seq     uint64 `cbor:"3,keyasint"`
 	// IssuedMS is the issue time in milliseconds since the owner started, on its monotonic clock.
@@ -139,22 +140,22 @@
 	if err != nil {
 		return Ticket{}, ErrMalformed.New("not base64url (%v): send the ticket as it was issued", err)
 	}
-	var tok signedTicket
-	if err := decoder.Unmarshal(raw, &tok); err != nil {
+	var signed signedTicket
+	if err := decoder.Unmarshal(raw, &signed); err != nil {
 		return Ticket{}, ErrMalformed.New("not CBOR (%v): send the ticket as it was issued", err)
 	}
-	if tok.Version != formatVersion {
-		return Ticket{}, ErrMalformed.New("version %d, this node reads version %d: get a new ticket", tok.Version, formatVersion)
+	if signed.Version != formatVersion {
+		return Ticket{}, ErrMalformed.New("version %d, this node reads version %d: get a new ticket", signed.Version, formatVersion)
 	}
 	keys := i.currentKeys()
 	if len(keys) == 0 {
 		return Ticket{}, ErrForged.New("this node has no ticket key: give it the deployment's key")
 	}
-	if !slices.ContainsFunc(keys, func(key []byte) bool { return hmac.Equal(tok.MAC, mac(key, tok.Payload)) }) {
+	if !slices.ContainsFunc(keys, func(key []byte) bool { return hmac.Equal(signed.MAC, mac(key, signed.Payload)) }) {
 		return Ticket{}, ErrForged.New("MAC mismatch: send the ticket as it was issued, or get a new one")
 	}
 	var t Ticket
-	if err := decoder.Unmarshal(tok.Payload, &t); err != nil {
+	if err := decoder.Unmarshal(signed.Payload, &t); err != nil {
 		return Ticket{}, ErrMalformed.New("payload (%v): get a new ticket", err)
 	}
 	if t.Owner == "" || t.Seq == 0 {
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -14,8 +14,8 @@
 	"lovagelane/ticket"
 )
 
-// Guards against a ticket whose fields change between issue and parse, and against two tickets with one number.
-func TestTicketKeepsItsFieldsThroughTheCaller(t *testing.T) {
+// Guards against a ticket whose fields change between issue and parse, and against two tickets with the same number.
+func TestIssueAndParseRoundTrip(t *testing.T) {
 	issuer := ticket.NewIssuer([]byte("key"), "here", "10.0.0.1:1", start)
 	other := ticket.NewIssuer([]byte("key"), "there", "10.0.0.2:1", start)
 	for seq := uint64(1); seq < 4; seq++ {
