--- a/standin/backend.go
+++ b/standin/backend.go
@@ -66,7 +66,8 @@
 	Crash func(status int)
 }
 
-// BackendFaults sets injected faults; absent fields leave theirs unchanged.
+// BackendFaults is the request body of POST /standin/faults on a backend server. A fault whose field is absent keeps its
+// setting.
 type BackendFaults struct {
 	// SlowFactor multiplies the service time.
 	SlowFactor *float64 `json:"slow-factor,omitempty"`
@@ -270,16 +271,16 @@
 	b.inFlight.Add(1)
 	defer b.inFlight.Add(-1)
 
-	w := newActiveCall(ctx, b.clock.Now())
-	b.register(w)
-	defer b.unregister(w)
-	defer w.stopTimer()
+	call := newActiveCall(ctx, b.clock.Now())
+	b.register(call)
+	defer b.unregister(call)
+	defer call.stopTimer()
 
 	b.waiting.Add(1)
-	acquired := w.acquire(b.slots)
+	acquired := call.acquire(b.slots)
 	b.waiting.Add(-1)
 	if !acquired {
-		ctx.Error("gave up before the start: "+w.reason(), fasthttp.StatusServiceUnavailable)
+		ctx.Error("gave up before the start: "+call.reason(), fasthttp.StatusServiceUnavailable)
 		return
 	}
 	defer func() { <-b.slots }()
@@ -292,12 +293,12 @@
 		b.opt.Crash(crashExitStatus)
 	}
 	d, straggler := b.drawServiceTime()
-	if !w.sleep(d) {
-		ctx.Error("gave up while running: "+w.reason(), fasthttp.StatusGatewayTimeout)
+	if !call.sleep(d) {
+		ctx.Error("gave up while running: "+call.reason(), fasthttp.StatusGatewayTimeout)
 		return
 	}
 	b.waitWhileStalled()
-	failed := b.makePlannedCalls(ctx, path, w)
+	failed := b.makePlannedCalls(ctx, path, call)
 	if failed != nil {
 		answerJSON(ctx, fasthttp.StatusBadGateway, failed)
 		return
@@ -314,26 +315,26 @@
 	return strings.HasPrefix(path, "/poison") || len(ctx.Request.Header.Peek(headerPoison)) > 0
 }
 
-func (b *BackendServer) register(w *activeCall) {
+func (b *BackendServer) register(call *activeCall) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.activeCalls[w.context] = append(b.activeCalls[w.context], w)
+	b.activeCalls[call.context] = append(b.activeCalls[call.context], call)
 }
 
-func (b *BackendServer) unregister(w *activeCall) {
+func (b *BackendServer) unregister(call *activeCall) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var remaining []*activeCall
-	for _, o := range b.activeCalls[w.context] {
-		if o != w {
-			remaining = append(remaining, o)
+	for _, other := range b.activeCalls[call.context] {
+		if other != call {
+			remaining = append(remaining, other)
 		}
 	}
 	if len(remaining) == 0 {
-		delete(b.activeCalls, w.context)
+		delete(b.activeCalls, call.context)
 		return
 	}
-	b.activeCalls[w.context] = remaining
+	b.activeCalls[call.context] = remaining
 }
 
 func (b *BackendServer) cancel(context string) {
@@ -342,8 +343,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, w := range b.activeCalls[context] {
-		w.cancel()
+	for _, call := range b.activeCalls[context] {
+		call.cancel()
 	}
 }
 
@@ -355,43 +356,43 @@
 	timer          *time.Timer
 	expired        <-chan time.Time
 	cancelled      chan struct{}
-	once           sync.Once
+	cancelOnce     sync.Once
 	deadlinePassed bool
 }
 
 func newActiveCall(ctx *fasthttp.RequestCtx, now time.Time) *activeCall {
-	w := &activeCall{context: string(ctx.Request.Header.Peek(headerContext)), cancelled: make(chan struct{})}
+	c := &activeCall{context: string(ctx.Request.Header.Peek(headerContext)), cancelled: make(chan struct{})}
 	if ms, err := strconv.ParseInt(string(ctx.Request.Header.Peek(headerDeadline)), 10, 64); err == nil {
 		d := time.Duration(ms) * time.Millisecond
-		w.deadline = now.Add(d)
-		w.timer = time.NewTimer(d)
-		w.expired = w.timer.C
+		c.deadline = now.Add(d)
+		c.timer = time.NewTimer(d)
+		c.expired = c.timer.C
 	}
-	return w
+	return c
 }
 
-func (w *activeCall) cancel() { w.once.Do(func() { close(w.cancelled) }) }
+func (c *activeCall) cancel() { c.cancelOnce.Do(func() { close(c.cancelled) }) }
 
-func (w *activeCall) stopTimer() {
-	if w.timer != nil {
-		w.timer.Stop()
+func (c *activeCall) stopTimer() {
+	if c.timer != nil {
+		c.timer.Stop()
 	}
 }
 
-func (w *activeCall) reason() string {
-	if w.deadlinePassed {
+func (c *activeCall) reason() string {
+	if c.deadlinePassed {
 		return "deadline passed"
 	}
 	return "cancelled"
 }
 
 // acquire takes a slot. It returns false if the call is cancelled or its deadline passes first.
-func (w *activeCall) acquire(slots chan struct{}) bool {
+func (c *activeCall) acquire(slots chan struct{}) bool {
 	select {
-	case <-w.cancelled:
+	case <-c.cancelled:
 		return false
-	case <-w.expired:
-		w.deadlinePassed = true
+	case <-c.expired:
+		c.deadlinePassed = true
 		return false
 	case slots <- struct{}{}:
 		return true
@@ -399,14 +400,14 @@
 }
 
 // sleep waits for d. It returns false if the call is cancelled or its deadline passes first.
-func (w *activeCall) sleep(d time.Duration) bool {
+func (c *activeCall) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-w.cancelled:
+	case <-c.cancelled:
 		return false
-	case <-w.expired:
-		w.deadlinePassed = true
+	case <-c.expired:
+		c.deadlinePassed = true
 		return false
 	case <-t.C:
 		return true
--- a/standin/caller.go
+++ b/standin/caller.go
@@ -24,7 +24,8 @@
 	maxClientConns = 1 << 14
 	// maxAddressTries bounds the addresses tried for one send.
 	maxAddressTries = 4
-	defaultTimeout  = 2 * time.Second
+	// defaultTimeout applies to kinds without a timeout.
+	defaultTimeout = 2 * time.Second
 )
 
 // Kind describes one kind of request in a load.
@@ -48,7 +49,7 @@
 
 // Caller generates an open-loop load: the arrival of a request does not depend on the answers to earlier ones.
 type Caller struct {
-	// Addresses are the nodes' callers listeners; each request tries a random one first.
+	// Addresses are the addresses of the nodes' listeners for outside callers; each request tries a random one first.
 	Addresses []string
 	Kinds     []Kind
 	Profile   Profile
@@ -222,11 +223,11 @@
 }
 
 func (r *request) sendWithTicket(resend int, deadline time.Time) sendResult {
-	a := r.send(resend, deadline)
-	if a.ticket == "" || r.ticket != "" {
-		return a
+	result := r.send(resend, deadline)
+	if result.ticket == "" || r.ticket != "" {
+		return result
 	}
-	r.ticket = a.ticket
+	r.ticket = result.ticket
 	return r.send(resend, deadline)
 }
 
@@ -240,11 +241,11 @@
 		}
 	}
 	for i := range min(maxAddressTries, len(addresses)) {
-		a, err := r.sendTo(addresses[(r.firstAddress+i)%len(addresses)], resend, tryDeadline)
+		result, err := r.sendTo(addresses[(r.firstAddress+i)%len(addresses)], resend, tryDeadline)
 		var dial dialError
 		switch {
 		case err == nil:
-			return a
+			return result
 		case errors.As(err, &dial):
 			continue
 		case errors.Is(err, fasthttp.ErrTimeout):
@@ -298,24 +299,24 @@
 func classifyAnswer(resp *fasthttp.Response, id string) sendResult {
 	reason := string(resp.Header.Peek("Lovagelane-Reason"))
 	outcome := string(resp.Header.Peek("Lovagelane-Outcome"))
-	a := sendResult{reason: reason, notRun: outcome == "not-run", ticket: string(resp.Header.Peek("Lovagelane-Ticket"))}
+	result := sendResult{reason: reason, notRun: outcome == "not-run", ticket: string(resp.Header.Peek("Lovagelane-Ticket"))}
 	switch {
 	case resp.StatusCode() < 300:
 		return classifyBody(resp.Body(), id)
-	case a.notRun && (reason == reasonShed || reason == reasonQueueFull):
-		a.outcome = Shed
-	case a.notRun:
-		a.outcome = Refused
+	case result.notRun && (reason == reasonShed || reason == reasonQueueFull):
+		result.outcome = Shed
+	case result.notRun:
+		result.outcome = Refused
 	case outcome == "unknown":
-		a.outcome = Unknown
+		result.outcome = Unknown
 	default:
-		a.outcome = Failed
+		result.outcome = Failed
 		var inner FailedCall
 		if json.Unmarshal(resp.Body(), &inner) == nil && inner.Service != "" {
-			a.reason = strings.TrimSuffix("inner-"+inner.Service+"-"+inner.Reason, "-")
+			result.reason = strings.TrimSuffix("inner-"+inner.Service+"-"+inner.Reason, "-")
 		}
 	}
-	return a
+	return result
 }
 
 // classifyBody checks that the body is complete and answers this request, not another one.
--- a/standin/journal.go
+++ b/standin/journal.go
@@ -63,11 +63,11 @@
 	return nil
 }
 
-func (l *startLog) appendToJournal(s JournalEntry) error {
+func (l *startLog) appendToJournal(entry JournalEntry) error {
 	if l.journal == "" {
 		return nil
 	}
-	b, err := json.Marshal(s)
+	b, err := json.Marshal(entry)
 	if err != nil {
 		return Error.Wrap(err)
 	}
--- a/standin/planned.go
+++ b/standin/planned.go
@@ -43,7 +43,7 @@
 }
 
 // makePlannedCalls makes the calls planned for path. It returns the first failed one in the order of the plan, or nil.
-func (b *BackendServer) makePlannedCalls(ctx *fasthttp.RequestCtx, path string, w *activeCall) *FailedCall {
+func (b *BackendServer) makePlannedCalls(ctx *fasthttp.RequestCtx, path string, call *activeCall) *FailedCall {
 	var calls []PlannedCall
 	for _, c := range b.opt.Calls {
 		if c.ParentPath == path {
@@ -53,7 +53,7 @@
 	if len(calls) == 0 {
 		return nil
 	}
-	parent := parentCall{call: w, body: ctx.PostBody(), identity: identityOf(ctx)}
+	parent := parentCall{call: call, body: ctx.PostBody(), identity: identityOf(ctx)}
 	if !b.opt.Parallel || len(calls) == 1 {
 		for _, c := range calls {
 			if f := b.sendWithRetries(c, parent); f != nil {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -32,7 +32,8 @@
 	Delete    bool    `json:"delete,omitempty"`
 }
 
-// PlatformFaults sets injected faults; absent fields leave theirs unchanged.
+// PlatformFaults is the request body of POST /standin/faults on the platform. A fault whose field is absent keeps its
+// setting.
 type PlatformFaults struct {
 	// Down makes the store answer every request with 503.
 	Down *bool `json:"down,omitempty"`
@@ -42,7 +43,7 @@
 	LoseAnswers *int `json:"lose-answers,omitempty"`
 }
 
-// PlatformCounts counts the requests that the store has executed.
+// PlatformCounts counts the requests that the store has executed. A transaction whose conditions fail counts as a read.
 type PlatformCounts struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
@@ -58,7 +59,7 @@
 	rows     map[string]*storedRow
 }
 
-// Platform is an in-memory table service and object store.
+// Platform is an in-memory table service and object store. Nodes use it as their store.
 type Platform struct {
 	clock kernel.Clock
 
@@ -71,7 +72,7 @@
 	loseAnswers int
 }
 
-// NewPlatform returns an empty store.
+// NewPlatform returns an empty platform; Serve starts it.
 func NewPlatform(clock kernel.Clock) *Platform {
 	return &Platform{clock: clock, tables: map[string]*table{}, objects: map[string][]byte{}}
 }
--- a/standin/result.go
+++ b/standin/result.go
@@ -12,10 +12,10 @@
 	// BucketWidth is the width of the time buckets in which arrivals and answered requests are counted.
 	BucketWidth = 100 * time.Millisecond
 
-	maxLatency      = 10 * time.Minute
-	latencyDigits   = 3
-	reasonShed      = "shed"
-	reasonQueueFull = "queue-full"
+	maxLatency                = 10 * time.Minute
+	latencySignificantFigures = 3
+	reasonShed                = "shed"
+	reasonQueueFull           = "queue-full"
 )
 
 // Outcome is the result of a request from the caller's point of view.
@@ -108,7 +108,7 @@
 		}
 		r.order = append(r.order, k)
 		r.kinds[k] = &KindResults{Kind: k, Reasons: map[string]int{},
-			latencies: hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
+			latencies: hdrhistogram.New(1, maxLatency.Microseconds(), latencySignificantFigures)}
 	}
 	return r
 }
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -170,7 +170,7 @@
 	call(1, headerContext, "ctx-1")
 	eventually(t, func() bool { return b.waiting.Load() == 1 }, "the second call waits")
 	call(2, headerContext, "ctx-2", headerDeadline, "20")
-	eventually(t, func() bool { return statuses[2].Load() == 503 }, "the third call meets its deadline")
+	eventually(t, func() bool { return statuses[2].Load() == 503 }, "the deadline of the third call passes")
 	require.Equal(t, map[string]int{"/orders r0": 1}, b.StartCounts().Requests, "one slot runs one call")
 
 	send(t, "POST", url+"/lovagelane/cancel", "", headerContext, "ctx-1")
@@ -327,7 +327,7 @@
 }
 
 // Guards against a profile parser that accepts malformed steps, and against wrong rates at a step or within the period of
-// a square wave.
+// a square wave: a load would then differ from the profile given on the command line.
 func TestParseProfile(t *testing.T) {
 	p, err := ParseProfile("0s=100,10s=500/50:4s")
 	require.NoError(t, err)
