--- a/testbed/deployment.go
+++ b/testbed/deployment.go
@@ -66,53 +66,53 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	b := &Deployment{opt: opt, dir: dir, group: kernel.NewGroup(context.WithoutCancel(ctx))}
-	if err := b.startPlatform(ctx); err != nil {
-		b.Stop()
+	d := &Deployment{opt: opt, dir: dir, group: kernel.NewGroup(context.WithoutCancel(ctx))}
+	if err := d.startPlatform(ctx); err != nil {
+		d.Stop()
 		return nil, err
 	}
-	return b, nil
+	return d, nil
 }
 
 // Dir returns the temporary directory that contains keys, settings and logs.
-func (b *Deployment) Dir() string { return b.dir }
+func (d *Deployment) Dir() string { return d.dir }
 
-// Group returns the group in which the relays of the deployment run.
-func (b *Deployment) Group() *kernel.Group { return b.group }
+// Group returns the group of the deployment's goroutines, in which its relays run too. Stop stops it.
+func (d *Deployment) Group() *kernel.Group { return d.group }
 
-func (b *Deployment) startPlatform(ctx context.Context) error {
-	if err := keys.Issue(b.dir); err != nil {
+func (d *Deployment) startPlatform(ctx context.Context) error {
+	if err := keys.Issue(d.dir); err != nil {
 		return err
 	}
-	addresses, err := b.ports.allocate(1)
+	addresses, err := d.ports.allocate(1)
 	if err != nil {
 		return err
 	}
-	b.Store = "http://" + addresses[0]
-	if b.Platform, err = b.start("platform", "standin", "platform", "--listen", addresses[0]); err != nil {
+	d.Store = "http://" + addresses[0]
+	if d.Platform, err = d.start("platform", "standin", "platform", "--listen", addresses[0]); err != nil {
 		return err
 	}
 	return PollUntil(ctx, "platform", func(ctx context.Context) error {
-		return exchangeJSON(ctx, "GET", b.Store+"/standin/counts", nil, nil)
+		return exchangeJSON(ctx, "GET", d.Store+"/standin/counts", nil, nil)
 	})
 }
 
-func (b *Deployment) start(name, program string, args ...string) (*Process, error) {
-	p := NewProcess(b.group, name, b.dir, filepath.Join(b.opt.Bin, program), args...)
+func (d *Deployment) start(name, program string, args ...string) (*Process, error) {
+	p := NewProcess(d.group, name, d.dir, filepath.Join(d.opt.Bin, program), args...)
 	if err := p.Start(); err != nil {
 		return nil, err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.procs = append(b.procs, p)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.procs = append(d.procs, p)
 	return p, nil
 }
 
 // Add starts the backend servers and nodes of the services without waiting until they serve.
-func (b *Deployment) Add(services ...Service) error {
+func (d *Deployment) Add(services ...Service) error {
 	for _, s := range services {
 		for _, zone := range s.Zones {
-			if err := b.addPlace(s, zone); err != nil {
+			if err := d.addPlace(s, zone); err != nil {
 				return err
 			}
 		}
@@ -120,8 +120,8 @@
 	return nil
 }
 
-func (b *Deployment) addPlace(s Service, zone string) error {
-	a, err := b.ports.allocate(6)
+func (d *Deployment) addPlace(s Service, zone string) error {
+	a, err := d.ports.allocate(6)
 	if err != nil {
 		return err
 	}
@@ -129,62 +129,62 @@
 		Admin: a[5]}
 	// The index counts the places added so far, so that a place added later does not overwrite the files of an earlier
 	// one.
-	name := fmt.Sprintf("%s-%d", s.Name, len(b.PlacesOf(s.Name)))
-	if existing := b.PlacesOf(s.Name); b.opt.SharedBackends && len(existing) > 0 {
+	name := fmt.Sprintf("%s-%d", s.Name, len(d.PlacesOf(s.Name)))
+	if existing := d.PlacesOf(s.Name); d.opt.SharedBackends && len(existing) > 0 {
 		p.Backend, p.BackendAddress = existing[0].Backend, existing[0].BackendAddress
-		return b.addNode(name, p)
+		return d.addNode(name, p)
 	}
 	args := append([]string{"backend-server", "--listen", p.BackendAddress, "--service", s.Name, "--node", p.BackendListen,
 		"--slots", fmt.Sprint(s.Slots), "--connections", fmt.Sprint(s.Connections),
-		"--seed", fmt.Sprint(len(b.Places) + 1)}, s.BackendFlags...)
-	if p.Backend, err = b.start(name+"-backend", "standin", args...); err != nil {
+		"--seed", fmt.Sprint(len(d.Places) + 1)}, s.BackendFlags...)
+	if p.Backend, err = d.start(name+"-backend", "standin", args...); err != nil {
 		return err
 	}
-	return b.addNode(name, p)
+	return d.addNode(name, p)
 }
 
-func (b *Deployment) addNode(name string, p *Place) (err error) {
-	if !b.opt.NoNodes {
-		if p.Node, err = b.startNode(name+"-node", p); err != nil {
+func (d *Deployment) addNode(name string, p *Place) (err error) {
+	if !d.opt.NoNodes {
+		if p.Node, err = d.startNode(name+"-node", p); err != nil {
 			return err
 		}
 	}
-	b.Places = append(b.Places, p)
+	d.Places = append(d.Places, p)
 	return nil
 }
 
-// startNode writes the settings of a node and starts it. Its seeds are the first three places, as far as they have been
-// started.
-func (b *Deployment) startNode(name string, p *Place) (*Process, error) {
+// startNode writes the settings of a node and starts it. Its seeds are the nodes of the first three places, or of fewer if
+// fewer have been added.
+func (d *Deployment) startNode(name string, p *Place) (*Process, error) {
 	var seeds []string
-	for _, other := range b.Places[:min(3, len(b.Places))] {
+	for _, other := range d.Places[:min(3, len(d.Places))] {
 		seeds = append(seeds, other.Control)
 	}
-	file := func(name string) string { return filepath.Join(b.dir, name) }
+	file := func(name string) string { return filepath.Join(d.dir, name) }
 	lines := []string{"[node]",
 		"service = " + p.Service, "availability-zone = " + p.Zone, "backend-server = " + p.BackendAddress,
 		"callers-listen = " + p.Callers, "backend-listen = " + p.BackendListen, "calls-listen = " + p.Calls,
-		"control-listen = " + p.Control, "admin-listen = " + p.Admin, "store = " + b.Store,
+		"control-listen = " + p.Control, "admin-listen = " + p.Admin, "store = " + d.Store,
 	}
 	if len(seeds) > 0 {
 		lines = append(lines, "seeds = "+strings.Join(seeds, ", "))
 	}
 	lines = append(lines, "[keys]", "certificate = "+file("node.pem"), "key = "+file("node-key.pem"),
 		"authority = "+file("authority.pem"), "ticket-key = "+file("ticket-key"))
-	if len(b.opt.NodeSettings) > 0 {
-		lines = append(append(lines, "[baselines]"), b.opt.NodeSettings...)
+	if len(d.opt.NodeSettings) > 0 {
+		lines = append(append(lines, "[baselines]"), d.opt.NodeSettings...)
 	}
 	settings := file(name + ".ini")
 	if err := os.WriteFile(settings, []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return b.start(name, "lovagelane", "node", "--settings", settings)
+	return d.start(name, "lovagelane", "node", "--settings", settings)
 }
 
 // PlacesOf returns the places of a service.
-func (b *Deployment) PlacesOf(service string) []*Place {
+func (d *Deployment) PlacesOf(service string) []*Place {
 	var all []*Place
-	for _, p := range b.Places {
+	for _, p := range d.Places {
 		if p.Service == service {
 			all = append(all, p)
 		}
@@ -193,9 +193,9 @@
 }
 
 // CallerAddresses returns the addresses of the nodes' listeners for outside callers.
-func (b *Deployment) CallerAddresses() []string {
+func (d *Deployment) CallerAddresses() []string {
 	var all []string
-	for _, p := range b.Places {
+	for _, p := range d.Places {
 		all = append(all, p.Callers)
 	}
 	return all
@@ -203,8 +203,8 @@
 
 // Apply applies a configuration with the command lovagelane apply and returns its output. The command returns when the
 // configuration is in force on every node.
-func (b *Deployment) Apply(ctx context.Context, inventory, rules string) (string, error) {
-	dir := filepath.Join(b.dir, "configuration")
+func (d *Deployment) Apply(ctx context.Context, inventory, rules string) (string, error) {
+	dir := filepath.Join(d.dir, "configuration")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", Error.Wrap(err)
 	}
@@ -213,7 +213,7 @@
 			return "", Error.Wrap(err)
 		}
 	}
-	out, err := exec.CommandContext(ctx, filepath.Join(b.opt.Bin, "lovagelane"), "apply", "--store", b.Store, "--keys", b.dir,
+	out, err := exec.CommandContext(ctx, filepath.Join(d.opt.Bin, "lovagelane"), "apply", "--store", d.Store, "--keys", d.dir,
 		"--by", "testbed", dir).CombinedOutput()
 	if err != nil {
 		return "", Error.New("lovagelane apply: %v: %s", err, out)
@@ -222,8 +222,8 @@
 }
 
 // WaitHealthy waits until the backend servers are healthy and the nodes respond. It does not require a configuration in force.
-func (b *Deployment) WaitHealthy(ctx context.Context) error {
-	for _, p := range b.Places {
+func (d *Deployment) WaitHealthy(ctx context.Context) error {
+	for _, p := range d.Places {
 		if err := PollUntil(ctx, "backend server of "+p.Service, p.checkHealthy); err != nil {
 			return err
 		}
@@ -241,11 +241,12 @@
 	return nil
 }
 
-// WaitReady waits until on each node the configuration version is in force and all other nodes are listed as serving.
-func (b *Deployment) WaitReady(ctx context.Context, version uint64) error {
-	for _, p := range b.Places {
+// WaitReady waits until each node has this or a later configuration version in force, sees its backend server as up and
+// lists all other nodes as serving.
+func (d *Deployment) WaitReady(ctx context.Context, version uint64) error {
+	for _, p := range d.Places {
 		err := PollUntil(ctx, "node of "+p.Service, func(ctx context.Context) error {
-			return p.checkReady(ctx, version, len(b.Places))
+			return p.checkReady(ctx, version, len(d.Places))
 		})
 		if err != nil {
 			return err
@@ -305,20 +306,20 @@
 
 // StartCounts returns the counts of the calls that the backend server has started.
 func (p *Place) StartCounts(ctx context.Context) (standin.StartCounts, error) {
-	var r standin.StartCounts
-	err := exchangeJSON(ctx, "GET", "http://"+p.BackendAddress+"/standin/ran", nil, &r)
-	return r, err
+	var counts standin.StartCounts
+	err := exchangeJSON(ctx, "GET", "http://"+p.BackendAddress+"/standin/ran", nil, &counts)
+	return counts, err
 }
 
 // SetPlatformFaults sets injected faults of the platform.
-func (b *Deployment) SetPlatformFaults(ctx context.Context, f standin.PlatformFaults) error {
-	return exchangeJSON(ctx, "POST", b.Store+"/standin/faults", f, nil)
+func (d *Deployment) SetPlatformFaults(ctx context.Context, f standin.PlatformFaults) error {
+	return exchangeJSON(ctx, "POST", d.Store+"/standin/faults", f, nil)
 }
 
 // PlatformCounts returns the numbers of reads and writes that the platform has executed.
-func (b *Deployment) PlatformCounts(ctx context.Context) (standin.PlatformCounts, error) {
+func (d *Deployment) PlatformCounts(ctx context.Context) (standin.PlatformCounts, error) {
 	var c standin.PlatformCounts
-	err := exchangeJSON(ctx, "GET", b.Store+"/standin/counts", nil, &c)
+	err := exchangeJSON(ctx, "GET", d.Store+"/standin/counts", nil, &c)
 	return c, err
 }
 
@@ -341,10 +342,10 @@
 
 // Stop stops all processes and waits until they have exited. It stops the nodes first, then the backend servers, then
 // the platform; the processes of each kind stop concurrently.
-func (b *Deployment) Stop() StopResult {
-	b.mu.Lock()
-	procs := slices.Clone(b.procs)
-	b.mu.Unlock()
+func (d *Deployment) Stop() StopResult {
+	d.mu.Lock()
+	procs := slices.Clone(d.procs)
+	d.mu.Unlock()
 	result := StopResult{Processes: len(procs)}
 	var mu sync.Mutex
 	stop := func(batch []*Process) {
@@ -377,9 +378,9 @@
 		}
 		stop(batch)
 	}
-	_ = b.group.Stop()
+	_ = d.group.Stop()
 	return result
 }
 
 // Remove deletes the temporary directory; call it after Stop.
-func (b *Deployment) Remove() error { return os.RemoveAll(b.dir) }
+func (d *Deployment) Remove() error { return os.RemoveAll(d.dir) }
--- a/testbed/http.go
+++ b/testbed/http.go
@@ -15,7 +15,7 @@
 	requestTimeout = 5 * time.Second
 )
 
-// client does not reuse connections, since the processes that it sends requests to are killed and paused.
+// client does not reuse connections, since the processes that it sends requests to are killed and frozen.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: requestTimeout}
 
 // exchangeJSON sends in as JSON unless it is nil, and decodes the response into out unless that is nil.
@@ -68,7 +68,7 @@
 			return nil
 		}
 		if lastErr == nil || ctx.Err() == nil {
-			// Keep the previous error if ctx interrupted this poll, since that error shows what the condition lacks.
+			// If ctx interrupted this poll, the error of the previous poll is kept, since it names the unmet condition.
 			lastErr = err
 		}
 		var exited processExitedError
--- a/testbed/process.go
+++ b/testbed/process.go
@@ -114,16 +114,16 @@
 	return err
 }
 
-// Freeze pauses the process with SIGSTOP.
+// Freeze stops the execution of the process with SIGSTOP until Resume.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Resume continues a paused process with SIGCONT.
+// Resume continues a frozen process with SIGCONT.
 func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
-// Hangup sends SIGHUP, which makes the process reload its settings.
+// Hangup sends SIGHUP, on which a mesh node reads its settings again.
 func (p *Process) Hangup() error { return p.signal(syscall.SIGHUP) }
 
-// Terminate sends SIGTERM, followed by SIGCONT so that a paused process handles it.
+// Terminate sends SIGTERM, followed by SIGCONT so that a frozen process handles it.
 func (p *Process) Terminate() error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
--- a/testbed/relay.go
+++ b/testbed/relay.go
@@ -9,7 +9,7 @@
 	"lovagelane/kernel"
 )
 
-// Relay is a TCP proxy for fault injection: it forwards connections to a target and can stall, delay, refuse or close
+// Relay is a TCP proxy for fault injection: it forwards connections to a target and can silence, delay, refuse or close
 // them.
 type Relay struct {
 	group  *kernel.Group
--- a/testbed/testbed_test.go
+++ b/testbed/testbed_test.go
@@ -41,7 +41,7 @@
 }
 
 // Guards against process control without effect, which would make failure tests meaningless: a kill that leaves the
-// process alive, a pause that does not stop it, or a stop that hangs on a paused process.
+// process alive, a freeze that lets it run, or a stop that hangs on a frozen process.
 func TestProcess(t *testing.T) {
 	g := kernel.NewGroup(context.Background())
 	p := startChild(t, g)
@@ -61,7 +61,7 @@
 	require.NotEqual(t, first, p.PID())
 	require.NoError(t, p.Kill())
 	require.False(t, p.Running())
-	require.NoError(t, p.Kill(), "ending a process that has ended does nothing")
+	require.NoError(t, p.Kill(), "killing a process that has exited does nothing")
 	require.NoError(t, g.Stop())
 }
 
