--- a/cmd/bench/bench.go
+++ b/cmd/bench/bench.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	readyTimeout = 15 * time.Second
-	maxStarts    = 4
+	readyTimeout   = 15 * time.Second
+	maxDeployTries = 4
 )
 
 // bench holds the options of one run and the result rows of the current part.
@@ -89,7 +89,7 @@
 	for try := 1; ; try++ {
 		err := b.deployOnce(ctx, v, services, rules, f)
 		var notReady notReadyError
-		if try == maxStarts || ctx.Err() != nil || !errors.As(err, &notReady) {
+		if try == maxDeployTries || ctx.Err() != nil || !errors.As(err, &notReady) {
 			return err
 		}
 		fmt.Printf("- %s: start %d did not get ready: %v\n\n", v.name, try, err)
--- a/cmd/bench/calls.go
+++ b/cmd/bench/calls.go
@@ -13,12 +13,12 @@
 const (
 	callsWarmUp = 3 * time.Second
 	callsWindow = 10 * time.Second
-	// targetCallRate is the number of calls a second that a node serves at the target size. It makes as many itself.
+	// targetCallRate is the number of calls a second that a node serves at the target size. It also makes that many.
 	targetCallRate = 100
 )
 
 // runCalls offers constant rates to a node of another service and fits a line through the processor times of the calling
-// and of the serving node. The calling node also accepts the request of the external caller; a node between two services
+// and of the serving node. The calling node also accepts the request of the outside caller; a node between two services
 // accepts that request from its backend server.
 func runCalls(ctx context.Context, b *bench) error {
 	services := []testbed.Service{
@@ -74,7 +74,7 @@
 		g := kernel.NewGroup(ctx)
 		g.Go("load", func(ctx context.Context) error { load <- offerLoad(ctx); return nil })
 	}
-	if err := pause(ctx, callsWarmUp); err != nil {
+	if err := sleep(ctx, callsWarmUp); err != nil {
 		return err
 	}
 	var before [2]time.Duration
@@ -85,7 +85,7 @@
 		}
 	}
 	start := time.Now()
-	if err := pause(ctx, callsWindow); err != nil {
+	if err := sleep(ctx, callsWindow); err != nil {
 		return err
 	}
 	for i, p := range places {
--- a/cmd/bench/chain.go
+++ b/cmd/bench/chain.go
@@ -107,12 +107,12 @@
 	return nil
 }
 
-// runRecovery offers 0.7x of the capacity, with a surge to 4x from 6 s to 12 s, from callers that retry up to three times.
+// runRecovery offers 0.7x of the capacity, with a surge to 4x from 6 s to 12 s. The callers retry up to three times.
 func runRecovery(ctx context.Context, b *bench) error {
-	const before, surge = 6 * time.Second, 12 * time.Second
+	const surgeStart, surgeEnd = 6 * time.Second, 12 * time.Second
 	window := span{0, 30 * time.Second}
-	profile := standin.Profile{Steps: []standin.Step{{Rate: 0.7 * chainCapacity}, {From: before, Rate: 4 * chainCapacity},
-		{From: surge, Rate: 0.7 * chainCapacity}}}
+	profile := standin.Profile{Steps: []standin.Step{{Rate: 0.7 * chainCapacity}, {From: surgeStart, Rate: 4 * chainCapacity},
+		{From: surgeEnd, Rate: 0.7 * chainCapacity}}}
 	recoverySecs, shareBefore := map[string]float64{}, map[string]float64{}
 	for _, v := range []variant{product, fixedLimit, noControl} {
 		err := b.deploy(ctx, v, chainServices(), chainRules, func(ctx context.Context, deployment *testbed.Deployment) error {
@@ -121,8 +121,8 @@
 				return err
 			}
 			printResults(v.name, all)
-			shareBefore[v.name] = all.AnsweredShare(2*time.Second, before)
-			recoverySecs[v.name] = recoveryTime(all, surge, window.to, recoveredShare*shareBefore[v.name]).Seconds()
+			shareBefore[v.name] = all.AnsweredShare(2*time.Second, surgeStart)
+			recoverySecs[v.name] = recoveryTime(all, surgeEnd, window.to, recoveredShare*shareBefore[v.name]).Seconds()
 			return nil
 		})
 		if err != nil {
--- a/cmd/bench/control.go
+++ b/cmd/bench/control.go
@@ -150,14 +150,14 @@
 }
 
 func (r *controlRun) measureIdle(ctx context.Context) error {
-	if err := pause(ctx, controlWarmUp); err != nil {
+	if err := sleep(ctx, controlWarmUp); err != nil {
 		return err
 	}
 	before, err := r.usage(ctx)
 	if err != nil {
 		return err
 	}
-	if err := pause(ctx, idleWindow); err != nil {
+	if err := sleep(ctx, idleWindow); err != nil {
 		return err
 	}
 	after, err := r.usage(ctx)
@@ -166,7 +166,7 @@
 	}
 	r.idle = after.minus(before)
 	r.idle.memory = after.memory
-	r.addRow("idle", r.idle, 1/r.idle.span.Seconds(), 0)
+	r.addRow("idle", r.idle, 1/r.idle.duration.Seconds(), 0)
 	return nil
 }
 
@@ -205,7 +205,7 @@
 	if err != nil {
 		return err
 	}
-	if err := pause(ctx, max(0, window-time.Since(start))); err != nil {
+	if err := sleep(ctx, max(0, window-time.Since(start))); err != nil {
 		return err
 	}
 	after, err := r.usage(ctx)
@@ -286,7 +286,7 @@
 	if err := p.Freeze(); err != nil {
 		return 0, err
 	}
-	return 0, errors.Join(pause(ctx, freezeDuration), p.Resume())
+	return 0, errors.Join(sleep(ctx, freezeDuration), p.Resume())
 }
 
 // killExtraNode restarts the additional node, waits until all nodes know it, and kills it. It returns the time until all
@@ -300,7 +300,7 @@
 		return 0, err
 	}
 	fmt.Printf("- %d nodes: a node that starts is known to all after %.1f s\n", len(r.nodes), time.Since(start).Seconds())
-	if err := pause(ctx, time.Second); err != nil {
+	if err := sleep(ctx, time.Second); err != nil {
 		return 0, err
 	}
 	start = time.Now()
@@ -323,7 +323,7 @@
 			r.nodes = append(r.nodes, p)
 		}
 	}
-	// The idle cost was measured for all nodes, so the remaining nodes are charged their share of it.
+	// The idle cost is the sum over all nodes, so it is scaled down to the remaining ones.
 	r.idle = r.idle.scaled(float64(len(r.nodes)) / float64(len(allNodes)))
 	err := r.measureEvent(ctx, "zone lost", eventWindow, func(ctx context.Context) (float64, error) {
 		start := time.Now()
@@ -349,7 +349,7 @@
 				return 0, err
 			}
 		}
-		if err := pause(ctx, time.Second); err != nil {
+		if err := sleep(ctx, time.Second); err != nil {
 			return 0, err
 		}
 		// A node does not restart if another program has taken one of its ports.
@@ -402,32 +402,32 @@
 	return v, nil
 }
 
-// usage holds the resources that the nodes have used since their start, summed over the nodes, and the operations of the
-// store.
+// usage holds the resources that the nodes have used since their start, summed over the nodes, and the reads and
+// writes of the store.
 type usage struct {
 	cpu                                   time.Duration
 	memory, sent, received, reads, writes float64
 	at                                    time.Time
-	span                                  time.Duration
+	duration                              time.Duration
 }
 
 func (u usage) minus(old usage) usage {
 	return usage{cpu: u.cpu - old.cpu, memory: u.memory - old.memory, sent: u.sent - old.sent,
-		received: u.received - old.received, reads: u.reads - old.reads, writes: u.writes - old.writes, span: u.at.Sub(old.at)}
+		received: u.received - old.received, reads: u.reads - old.reads, writes: u.writes - old.writes, duration: u.at.Sub(old.at)}
 }
 
 func (u usage) scaled(f float64) usage {
 	return usage{cpu: time.Duration(float64(u.cpu) * f), memory: u.memory * f, sent: u.sent * f, received: u.received * f,
-		reads: u.reads * f, writes: u.writes * f, span: u.span}
+		reads: u.reads * f, writes: u.writes * f, duration: u.duration}
 }
 
 // minusIdle subtracts the idle cost of the same time span.
 func (u usage) minusIdle(idle usage) usage {
-	f := float64(u.span) / float64(idle.span)
+	f := float64(u.duration) / float64(idle.duration)
 	idlePart := idle.scaled(f)
 	idlePart.memory, idlePart.at = 0, time.Time{}
 	rest := u.minus(idlePart)
-	rest.span = u.span
+	rest.duration = u.duration
 	return rest
 }
 
@@ -489,7 +489,7 @@
 	return cpu, float64(resident) * float64(os.Getpagesize()) / 1e6, nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/cmd/bench/tail.go
+++ b/cmd/bench/tail.go
@@ -22,11 +22,11 @@
 )
 
 // tailServices returns one service behind a front service that does no work of its own.
-func tailServices(backend ...string) []testbed.Service {
+func tailServices(backendFlags ...string) []testbed.Service {
 	return []testbed.Service{
 		{Name: "front", Zones: []string{"rn-1", "rn-2"}, Slots: 64, Connections: 400, Timeout: 2 * time.Second},
 		{Name: "maps", Zones: []string{"rn-1", "rn-1", "rn-1", "rn-2", "rn-2", "rn-2"}, Slots: tailSlots, Connections: 400,
-			Timeout: 2 * time.Second, BackendFlags: append([]string{"--service-time", tailServiceTime.String()}, backend...)},
+			Timeout: 2 * time.Second, BackendFlags: append([]string{"--service-time", tailServiceTime.String()}, backendFlags...)},
 	}
 }
 
--- a/cmd/demo/check.go
+++ b/cmd/demo/check.go
@@ -71,28 +71,29 @@
 
 func percent(share float64) string { return fmt.Sprintf("%.2f%%", 100*share) }
 
-func share(results *standin.Results, kind string) float64 { return results.Kind(kind).AnsweredShare() }
+func answeredShare(r *standin.Results, kind string) float64 { return r.Kind(kind).AnsweredShare() }
 
 // checkUsualLoad checks that orders were answered and that each one ran in three services.
 func (d *demo) checkUsualLoad(usual *standin.Results, starts map[string][]standin.StartCounts) {
 	orders := usual.Kind(kindOrders).Answered
-	d.check(orders > 0 && share(usual, kindOrders) >= minImportantShare, "orders are answered under the usual load",
-		percent(share(usual, kindOrders)))
-	chain := 0
+	d.check(orders > 0 && answeredShare(usual, kindOrders) >= minImportantShare, "orders are answered under the usual load",
+		percent(answeredShare(usual, kindOrders)))
+	servicesReached := 0
 	for service, path := range map[string]string{"nursery": "/orders", "imagery": "/proofs", "payments": "/holds"} {
 		if countOrders(starts[service], path, "order-usual-") >= orders {
-			chain++
+			servicesReached++
 		}
 	}
-	d.check(chain == 3, "each answered order passed through three services", fmt.Sprintf("%d orders, %d services", orders, chain))
+	d.check(servicesReached == 3, "each answered order passed through three services",
+		fmt.Sprintf("%d orders, %d services", orders, servicesReached))
 }
 
 // countOrders returns the number of orders on a path whose keys have a prefix. It counts an order once for each backend
 // server that ran it.
 func countOrders(all []standin.StartCounts, path, prefix string) int {
 	n := 0
-	for _, r := range all {
-		for key := range r.Orders {
+	for _, counts := range all {
+		for key := range counts.Orders {
 			if strings.HasPrefix(key, path+" "+prefix) {
 				n++
 			}
@@ -107,11 +108,11 @@
 		results *standin.Results
 	}{{"before the change", before}, {"after the change", after}} {
 		for _, name := range []string{kindPayments, kindOrders} {
-			s := share(phase.results, name)
+			s := answeredShare(phase.results, name)
 			d.check(s >= minImportantShare, name+" are answered in overload "+phase.name, percent(s))
 		}
 	}
-	maps, weather, uploads := share(before, kindMaps), share(before, kindWeather), share(before, kindUploads)
+	maps, weather, uploads := answeredShare(before, kindMaps), answeredShare(before, kindWeather), answeredShare(before, kindUploads)
 	mapsResults := before.Kind(kindMaps)
 	weatherResults := before.Kind(kindWeather)
 	shed := float64(mapsResults.Shed+weatherResults.Shed) / float64(mapsResults.Sent+weatherResults.Sent)
@@ -120,7 +121,7 @@
 		fmt.Sprintf("answered %s and %s", percent(weather), percent(maps)))
 	d.check(maps <= uploads, "map reloads (rank 8) are shed before uploads (rank 4)",
 		fmt.Sprintf("answered %s and %s", percent(maps), percent(uploads)))
-	movedShare := share(after, kindWeather)
+	movedShare := answeredShare(after, kindWeather)
 	d.check(movedShare >= weather+minWeatherGain, "the changed class takes effect",
 		fmt.Sprintf("weather answered %s, then %s", percent(weather), percent(movedShare)))
 }
@@ -170,7 +171,7 @@
 		fmt.Sprintf("%d of %d refused %s", len(violations), refused, strings.Join(violations, "; ")))
 }
 
-func (d *demo) checkProcessesStopped(e testbed.StopResult) {
-	d.check(len(e.Running)+len(e.Killed)+len(e.Failed) == 0, "every process stopped by itself",
-		fmt.Sprintf("%d processes; killed %v, failed %v, running %v", e.Processes, e.Killed, e.Failed, e.Running))
+func (d *demo) checkProcessesStopped(result testbed.StopResult) {
+	d.check(len(result.Running)+len(result.Killed)+len(result.Failed) == 0, "every process stopped by itself",
+		fmt.Sprintf("%d processes; killed %v, failed %v, running %v", result.Processes, result.Killed, result.Failed, result.Running))
 }
--- a/cmd/demo/deployment.go
+++ b/cmd/demo/deployment.go
@@ -8,7 +8,7 @@
 	"lovagelane/testbed"
 )
 
-const serviceTime = "--service-time=20ms"
+const serviceTimeFlag = "--service-time=20ms"
 
 // services returns the demo's deployment: the services of Restinga Viva Plantios with few slots, so that one computer can
 // overload them. An order for seedlings passes through three services: nursery, imagery (proof of the plot) and payments
@@ -16,13 +16,13 @@
 func services() []testbed.Service {
 	return []testbed.Service{
 		{Name: "payments", Zones: []string{"rn-1", "rn-2"}, Slots: 4, Connections: 200, Timeout: time.Second,
-			BackendFlags: []string{serviceTime}},
+			BackendFlags: []string{serviceTimeFlag}},
 		{Name: "imagery", Zones: []string{"rn-1", "rn-2", "ce-1"}, Slots: 4, Connections: 200, Timeout: time.Second,
-			Calls: []string{"payments"}, BackendFlags: []string{serviceTime, "--call", "/proofs=payments:POST:/holds"}},
+			Calls: []string{"payments"}, BackendFlags: []string{serviceTimeFlag, "--call", "/proofs=payments:POST:/holds"}},
 		{Name: "nursery", Zones: []string{"rn-1", "rn-2"}, Slots: 4, Connections: 200, Timeout: time.Second,
-			Calls: []string{"imagery"}, BackendFlags: []string{serviceTime, "--call", "/orders=imagery:POST:/proofs"}},
+			Calls: []string{"imagery"}, BackendFlags: []string{serviceTimeFlag, "--call", "/orders=imagery:POST:/proofs"}},
 		{Name: "maps", Zones: []string{"rn-1", "rn-2", "ce-1"}, Slots: 4, Connections: 200, Timeout: time.Second,
-			Calls: []string{"imagery"}, BackendFlags: []string{serviceTime, "--call", "/maps/natal=imagery:GET:/tiles"}},
+			Calls: []string{"imagery"}, BackendFlags: []string{serviceTimeFlag, "--call", "/maps/natal=imagery:GET:/tiles"}},
 	}
 }
 
--- a/cmd/lovagelane/doc.go
+++ b/cmd/lovagelane/doc.go
@@ -1,2 +1,2 @@
-// Command lovagelane runs a node or one of the operators' commands.
+// Command lovagelane runs a node, a mesh node or one of the operators' commands.
 package main
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// runBackendServer runs a backend server. On SIGINT or SIGTERM it drains: the calls in flight finish before the process
-// exits, or drainTimeout passes.
+// runBackendServer runs a backend server. On SIGINT or SIGTERM it drains: it refuses new calls and returns when the calls
+// in flight have finished or drainTimeout has passed.
 func runBackendServer(ctx context.Context, opt standin.BackendOptions, listen string) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
