--- a/testbed/deployment.go
+++ b/testbed/deployment.go
@@ -77,7 +77,7 @@
 // Dir returns the temporary directory that contains keys, settings and logs.
 func (d *Deployment) Dir() string { return d.dir }
 
-// Group returns the group of the deployment's goroutines, in which its relays run too. Stop stops it.
+// Group returns the group of the deployment's goroutines, in which relays can run too. Stop stops it.
 func (d *Deployment) Group() *kernel.Group { return d.group }
 
 func (d *Deployment) startPlatform(ctx context.Context) error {
