--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -266,7 +266,8 @@
 	require.Empty(t, ObjectivesOf(nil))
 }
 
-// Guards against unbounded memory for many operations or events, and against allocations for a call with a known key.
+// Guards against unbounded memory for many operations or events, against allocations for a call with a known key, and
+// against a nil Recorder that panics.
 func TestRecorderIsBounded(t *testing.T) {
 	clock := &testClock{now: startTime}
 	r := NewRecorder(Node{ID: "a", AvailabilityZone: "rn-1"}, clock)
--- a/burn/html.go
+++ b/burn/html.go
@@ -18,7 +18,7 @@
 const (
 	plotWidth  = 720
 	plotHeight = 90
-	// plotColumns fits 3 days in columns of 1 hour, 6 hours in columns of 5 minutes and 5 minutes in columns of 4 seconds.
+	// plotColumns fits 3 days in columns of 1 hour, 6 hours in columns of 5 minutes, and 288 seconds in columns of 4 seconds.
 	plotColumns = 72
 	// minTopShare is the smallest upper end of the scale, so that a few bad calls among many do not fill a plot.
 	minTopShare = 0.01
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -23,7 +23,7 @@
 	maxEventGap = 10 * time.Minute
 )
 
-// overflowName is the service, class and operation of calls whose key exceeds maxSeries.
+// overflowName is the service, class and operation that replace those of a new key once a node has maxSeries series.
 const overflowName = "other"
 
 // Recorder counts the calls and events of one node; a nil Recorder counts nothing.
--- a/command/apply.go
+++ b/command/apply.go
@@ -252,8 +252,8 @@
 		if f.keys != "" {
 			fmt.Fprintf(env.Out, "in force on %d nodes after %s\n", result.InForce, result.Took)
 		}
-		for _, w := range result.Pending {
-			fmt.Fprintf(env.Out, "not in force: %s\n", w)
+		for _, pending := range result.Pending {
+			fmt.Fprintf(env.Out, "not in force: %s\n", pending)
 		}
 	}
 	if len(result.Pending) > 0 {
--- a/command/mesh.go
+++ b/command/mesh.go
@@ -9,7 +9,7 @@
 	"lovagelane/settings"
 )
 
-// RunMesh runs a node of a deployment that brings its own protocols. Package main sets it.
+// RunMesh runs a node of a deployment that uses its own protocols. Package main sets it.
 var RunMesh func(path string, s settings.Mesh) error
 
 func init() { Commands.Register("mesh", addMesh) }
--- a/command/report_test.go
+++ b/command/report_test.go
@@ -61,8 +61,8 @@
 	})
 
 	page := filepath.Join(t.TempDir(), "burn.html")
-	code, out, problems := run("report", "--node="+address, "--keys="+dir, "--html="+page)
-	require.Equal(t, command.CodeOK, code, problems)
+	code, out, errText := run("report", "--node="+address, "--keys="+dir, "--html="+page)
+	require.Equal(t, command.CodeOK, code, errText)
 	require.Contains(t, out, "configuration 7, 1 nodes answered, 0 did not")
 	require.Contains(t, out, "5 min   10     1.00       shed 1")
 	text, err := os.ReadFile(page)
@@ -70,13 +70,13 @@
 	require.Contains(t, string(text), "maps / reloads")
 
 	members = append(members, membership.Member{ID: "b", Calls: "127.0.0.1:1"})
-	code, out, problems = run("report", "--node="+address, "--keys="+dir)
+	code, out, errText = run("report", "--node="+address, "--keys="+dir)
 	require.Equal(t, command.CodeNotAccepted, code)
-	require.Equal(t, "lovagelane: 1 of 2 nodes do not answer\n", problems)
+	require.Equal(t, "lovagelane: 1 of 2 nodes do not answer\n", errText)
 	require.Regexp(t, "127.0.0.1:1 +did not answer .*connection refused", out)
 	require.Contains(t, out, "5 min   10     1.00       shed 1", "the other nodes' data must be there")
 
-	code, _, problems = run("report", "--node="+address, "--keys="+dir, "--html="+dir)
+	code, _, errText = run("report", "--node="+address, "--keys="+dir, "--html="+dir)
 	require.Equal(t, command.CodeProblem, code)
-	require.Contains(t, problems, "choose a file that can be written")
+	require.Contains(t, errText, "choose a file that can be written")
 }
--- a/command/request.go
+++ b/command/request.go
@@ -39,15 +39,16 @@
 
 // requestSettings returns the effective settings of an operation. The source of the rule is default if no rule matches.
 func requestSettings(cfg *inventory.Config, op inventory.Operation) []inventory.Setting {
-	statedSettings := map[string]inventory.Setting{}
+	ruleSettings := map[string]inventory.Setting{}
 	rule := inventory.Setting{Subject: inventory.Subject{Section: "service " + op.Service, Service: op.Service}, Key: "rule",
 		Value: "none", Line: op.Line, Source: inventory.SourceDefault}
 	for _, s := range cfg.Explain("request " + op.Name) {
-		statedSettings[s.Key] = s
+		ruleSettings[s.Key] = s
 		rule.Subject, rule.Value, rule.Source = s.Subject, op.Name, inventory.SourceStated
 	}
-	statedOr := func(key, value string, line inventory.Line, source inventory.Source) inventory.Setting {
-		if s, ok := statedSettings[key]; ok {
+	// settingOr returns the setting of the rule, or one with the given values if no rule matches or the rule does not set it.
+	settingOr := func(key, value string, line inventory.Line, source inventory.Source) inventory.Setting {
+		if s, ok := ruleSettings[key]; ok {
 			return s
 		}
 		return inventory.Setting{Subject: rule.Subject, Key: key, Value: value, Line: line, Source: source}
@@ -60,9 +61,9 @@
 	}
 	return []inventory.Setting{
 		rule,
-		statedOr("class", op.Class, op.ClassLine, inventory.SourceDefault),
-		statedOr("rank", fmt.Sprint(op.Rank), rankLine, inventory.SourceInherited),
-		statedOr("non-idempotent", "no", op.Line, inventory.SourceDefault),
-		statedOr("timeout", op.Timeout.String(), op.TimeoutLine, inventory.SourceInherited),
+		settingOr("class", op.Class, op.ClassLine, inventory.SourceDefault),
+		settingOr("rank", fmt.Sprint(op.Rank), rankLine, inventory.SourceInherited),
+		settingOr("non-idempotent", "no", op.Line, inventory.SourceDefault),
+		settingOr("timeout", op.Timeout.String(), op.TimeoutLine, inventory.SourceInherited),
 	}
 }
--- a/command/status.go
+++ b/command/status.go
@@ -22,35 +22,35 @@
 
 // addNodeFlags adds the flags of nodeFlags to a command.
 func addNodeFlags(cmd *kingpin.CmdClause) *nodeFlags {
-	r := &nodeFlags{}
-	cmd.Flag("store", "The base URL of the platform's store, which lists the nodes.").StringVar(&r.store)
-	cmd.Flag("node", "The calls address of a node, for when the store is down.").StringVar(&r.node)
-	cmd.Flag("keys", "The directory with the operator's key.").Required().ExistingDirVar(&r.keys)
-	return r
+	f := &nodeFlags{}
+	cmd.Flag("store", "The base URL of the platform's store, which lists the nodes.").StringVar(&f.store)
+	cmd.Flag("node", "The calls address of a node, for when the store is down.").StringVar(&f.node)
+	cmd.Flag("keys", "The directory with the operator's key.").Required().ExistingDirVar(&f.keys)
+	return f
 }
 
 // validate reports an error unless exactly one of --store and --node is set.
-func (r *nodeFlags) validate() error {
-	if (r.store == "") == (r.node == "") {
+func (f *nodeFlags) validate() error {
+	if (f.store == "") == (f.node == "") {
 		return errors.New("state either --store, or --node when the store is down")
 	}
 	return nil
 }
 
 // openFleet validates the flags and returns the fleet with its members.
-func (r *nodeFlags) openFleet(ctx context.Context) (*fleet.Fleet, []membership.Member, error) {
-	if err := r.validate(); err != nil {
+func (f *nodeFlags) openFleet(ctx context.Context) (*fleet.Fleet, []membership.Member, error) {
+	if err := f.validate(); err != nil {
 		return nil, nil, err
 	}
-	f, err := fleet.New(r.keys)
+	fl, err := fleet.New(f.keys)
 	if err != nil {
 		return nil, nil, problem(err)
 	}
-	members, err := f.Members(ctx, r.store, r.node)
+	members, err := fl.Members(ctx, f.store, f.node)
 	if err != nil {
 		return nil, nil, Exit{Code: CodeNotAccepted, Err: err}
 	}
-	return f, members, nil
+	return fl, members, nil
 }
 
 func addStatus(app *kingpin.Application, env *Env) {
--- a/inifile/collector.go
+++ b/inifile/collector.go
@@ -149,7 +149,7 @@
 	return 0
 }
 
-// FormatBytes returns the size n, which is in bytes, as text in the largest unit that represents it exactly.
+// FormatBytes formats a size of n bytes in the largest unit that represents it exactly.
 func FormatBytes(n int64) string {
 	for _, u := range byteUnits {
 		if n >= u.size && n%u.size == 0 {
--- a/inventory/config_test.go
+++ b/inventory/config_test.go
@@ -76,22 +76,22 @@
 	return cfg
 }
 
-func inv(n int) inventory.Line   { return inventory.Line{File: "inventory.ini", Number: n} }
-func rules(n int) inventory.Line { return inventory.Line{File: "rules.ini", Number: n} }
+func invLine(n int) inventory.Line   { return inventory.Line{File: "inventory.ini", Number: n} }
+func rulesLine(n int) inventory.Line { return inventory.Line{File: "rules.ini", Number: n} }
 
 // Guards against a request that does not get its most specific rule, or a setting that refers to a wrong line.
 func TestOperation(t *testing.T) {
 	cfg := valid(t)
 	order := inventory.Operation{Name: "order-seedlings", Service: "nursery", Class: "orders", Rank: 1, NonIdempotent: true,
-		Timeout: 500 * time.Millisecond, Line: rules(6), ClassLine: rules(10), TimeoutLine: rules(12)}
+		Timeout: 500 * time.Millisecond, Line: rulesLine(6), ClassLine: rulesLine(10), TimeoutLine: rulesLine(12)}
 	for _, path := range []string{"/orders", "/orders/", "/orders?fast=1"} {
 		require.Equal(t, order, cfg.Operation("nursery", "POST", path), path)
 	}
 	require.Equal(t, inventory.Operation{Name: "orders", Service: "nursery", Class: "lookups", Rank: 6, Timeout: 2 * time.Second,
-		Line: rules(13), ClassLine: rules(16), TimeoutLine: inv(11)}, cfg.Operation("nursery", "GET", "/orders/7"))
+		Line: rulesLine(13), ClassLine: rulesLine(16), TimeoutLine: invLine(11)}, cfg.Operation("nursery", "GET", "/orders/7"))
 	require.Equal(t, "urgent", cfg.Operation("nursery", "GET", "/orders/urgent/7").Name)
 	require.Equal(t, inventory.Operation{Name: "nursery.other", Service: "nursery", Class: "lookups", Rank: 6, Timeout: 2 * time.Second,
-		Line: inv(8), ClassLine: rules(5), TimeoutLine: inv(11)}, cfg.Operation("nursery", "GET", "/orders"))
+		Line: invLine(8), ClassLine: rulesLine(5), TimeoutLine: invLine(11)}, cfg.Operation("nursery", "GET", "/orders"))
 	require.Equal(t, inventory.Operation{}, cfg.Operation("imagery", "GET", "/"))
 }
 
@@ -113,11 +113,11 @@
 	group, ok := cfg.BackendServers("nursery", "rn-1")
 	require.True(t, ok)
 	require.Equal(t, inventory.BackendServers{Service: "nursery", AvailabilityZone: "rn-1", Count: 2, Slots: 35, Connections: 500,
-		Line: inv(16), SlotsLine: inv(18), ConnectionsLine: inv(10)}, group)
+		Line: invLine(16), SlotsLine: invLine(18), ConnectionsLine: invLine(10)}, group)
 	service, ok := cfg.Service("nursery")
 	require.True(t, ok)
 	require.Equal(t, inventory.Service{Name: "nursery", Timeout: 2 * time.Second, MaxBody: inventory.DefaultMaxBodyBytes,
-		Calls: []string{"payments"}, Line: inv(8), TimeoutLine: inv(11), MaxBodyLine: inv(8)}, service)
+		Calls: []string{"payments"}, Line: invLine(8), TimeoutLine: invLine(11), MaxBodyLine: invLine(8)}, service)
 	region, ok := cfg.Region("ce-1")
 	require.True(t, ok)
 	require.Equal(t, "ce", region)
@@ -126,8 +126,8 @@
 	require.Zero(t, cfg.Version())
 }
 
-// Guards against example files that Parse rejects, that have wrong sizes, or whose important requests have a rank above 2
-// or are not marked non-idempotent.
+// Guards against example files that Parse rejects, that have unexpected numbers of zones, backend servers, slots or
+// connections, or whose important requests have a rank above 2 or are not marked non-idempotent.
 func TestExamples(t *testing.T) {
 	important := map[string][]string{
 		"restinga-viva": {"payments POST /payments", "nursery POST /orders"},
--- a/inventory/parse_test.go
+++ b/inventory/parse_test.go
@@ -27,7 +27,8 @@
 	return files, want
 }
 
-func cases(t testing.TB) []string {
+// caseDirs returns the test directories, each with input files and problems.txt.
+func caseDirs(t testing.TB) []string {
 	dirs, err := filepath.Glob("testdata/problems/*")
 	require.NoError(t, err)
 	require.NotEmpty(t, dirs)
@@ -36,7 +37,7 @@
 
 // Guards against an error in the files that is accepted, reported without its line, or hides other errors.
 func TestProblems(t *testing.T) {
-	for _, dir := range cases(t) {
+	for _, dir := range caseDirs(t) {
 		t.Run(filepath.Base(dir), func(t *testing.T) {
 			files, want := readCase(t, dir)
 			cfg, problems := inventory.Parse(files)
--- a/inventory/property_test.go
+++ b/inventory/property_test.go
@@ -49,12 +49,12 @@
 func effectiveValues(cfg *inventory.Config) map[string]string {
 	values := map[string]string{}
 	for _, s := range cfg.Explain("") {
-		values[id(s.Subject, s.Key)] = s.Value
+		values[settingID(s.Subject, s.Key)] = s.Value
 	}
 	return values
 }
 
-func id(sub inventory.Subject, key string) string { return fmt.Sprintf("%v %s", sub, key) }
+func settingID(sub inventory.Subject, key string) string { return fmt.Sprintf("%v %s", sub, key) }
 
 // Guards against an effective setting whose line is not the one that sets it.
 func TestSettingLineSetsTheValue(t *testing.T) {
@@ -86,19 +86,19 @@
 			switch c := c.(type) {
 			case inventory.Added:
 				for _, s := range c.Settings {
-					require.NotContains(t, values, id(c.Subject, s.Key))
-					values[id(c.Subject, s.Key)] = s.Value
+					require.NotContains(t, values, settingID(c.Subject, s.Key))
+					values[settingID(c.Subject, s.Key)] = s.Value
 				}
 			case inventory.Removed:
 				for _, s := range c.Settings {
-					delete(values, id(c.Subject, s.Key))
+					delete(values, settingID(c.Subject, s.Key))
 				}
 			case inventory.Changed:
 				require.NotEqual(t, c.Old.Value, c.New.Value)
-				require.Equal(t, c.Old.Value, values[id(c.Subject, c.Key)])
-				values[id(c.Subject, c.Key)] = c.New.Value
+				require.Equal(t, c.Old.Value, values[settingID(c.Subject, c.Key)])
+				values[settingID(c.Subject, c.Key)] = c.New.Value
 				if c.New == (inventory.Setting{}) {
-					delete(values, id(c.Subject, c.Key))
+					delete(values, settingID(c.Subject, c.Key))
 				}
 			}
 		}
@@ -153,7 +153,7 @@
 // Guards against input that makes Parse panic, and against accepted files for which a lookup or the plan fails.
 func FuzzParse(f *testing.F) {
 	f.Add(validInventory, validRules)
-	for _, dir := range cases(f) {
+	for _, dir := range caseDirs(f) {
 		files, _ := readCase(f, dir)
 		if len(files) == 2 {
 			f.Add(files[0].Text, files[1].Text)
--- a/inventory/rules.go
+++ b/inventory/rules.go
@@ -11,7 +11,7 @@
 	"lovagelane/inifile"
 )
 
-// knownMethods lists the methods that a rule can match; HTTP methods are case-sensitive.
+// knownMethods lists the valid values of the key method; HTTP methods are case-sensitive.
 var knownMethods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 
 func (b *builder) readRules(sections []inifile.Section) {
@@ -63,7 +63,7 @@
 		}
 		seen[s.Names[0]] = true
 		b.requests = append(b.requests, r)
-		if _, invalid := s.Value("method"); invalid && r.Method == "" {
+		if _, stated := s.Value("method"); stated && r.Method == "" {
 			continue
 		}
 		if r.Path != "" && r.Operation.Service != "" {
@@ -102,14 +102,14 @@
 	b.recordKey(sub, s, "non-idempotent", yesNo(op.NonIdempotent))
 	b.recordKey(sub, s, "timeout", op.Timeout.String())
 	if entry, ok := b.service[op.Service]; ok {
-		b.requestTimeout(sub, &op, entry.service)
+		b.resolveTimeout(sub, &op, entry.service)
 	}
 	r.Operation = op
 	return r
 }
 
-// requestTimeout applies the service's timeout to a request without one and reports a timeout that exceeds the service's.
-func (b *builder) requestTimeout(sub Subject, op *Operation, service Service) {
+// resolveTimeout applies the service's timeout to a rule without one and reports a timeout that exceeds the service's.
+func (b *builder) resolveTimeout(sub Subject, op *Operation, service Service) {
 	if op.TimeoutLine == op.Line {
 		op.Timeout, op.TimeoutLine = service.Timeout, service.TimeoutLine
 		b.recordSetting(sub, "timeout", op.Timeout.String(), op.TimeoutLine, SourceInherited)
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -20,4 +20,6 @@
 //
 // admin-listen and seeds are optional. An optional section [baselines] with limiter, policy and retries selects other
 // plug-ins for baseline measurements.
+//
+// A node whose deployment uses its own protocols has a single section [mesh] instead; see Mesh.
 package settings
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -41,7 +41,7 @@
 	AvailabilityZone string
 	// BackendServer is the address of the node's own backend server.
 	BackendServer string
-	// CallersListen is the listen address for calls from outside callers over HTTP.
+	// CallersListen is the listen address for calls from external callers over HTTP.
 	CallersListen string
 	// BackendListen is the loopback listen address for calls from the node's own backend server over HTTP.
 	BackendListen string
