--- a/failure/drain_test.go
+++ b/failure/drain_test.go
@@ -31,8 +31,8 @@
 	answers    atomic.Int64
 }
 
-func (s *drainLoad) addresses() ([]string, error) {
-	r := send(s.cl.ctx, s.listSource.Callers, "GET", "/lovagelane/nodes", nil)
+func (l *drainLoad) addresses() ([]string, error) {
+	r := send(l.cl.ctx, l.listSource.Callers, "GET", "/lovagelane/nodes", nil)
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -43,31 +43,31 @@
 	return listed.Nodes, err
 }
 
-func (s *drainLoad) sendRequests(ctx context.Context, name string, seed uint64) error {
+func (l *drainLoad) sendRequests(ctx context.Context, name string, seed uint64) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	for i := 0; ctx.Err() == nil; i++ {
 		id := fmt.Sprintf("%s-%d", name, i)
-		if err := s.sendUntilRun(id, i%2 == 0, r); err != nil {
+		if err := l.sendUntilRun(id, i%2 == 0, r); err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
-		s.answers.Add(1)
+		l.answers.Add(1)
 	}
 	return nil
 }
 
-func (s *drainLoad) sendUntilRun(id string, order bool, r *rand.Rand) error {
+func (l *drainLoad) sendUntilRun(id string, order bool, r *rand.Rand) error {
 	ticket := ""
 	for range 10 {
-		addresses, err := s.addresses()
+		addresses, err := l.addresses()
 		if err != nil {
 			return err
 		}
 		address := addresses[r.IntN(len(addresses))]
 		a := reply{}
 		if order {
-			a = send(s.cl.ctx, address, "POST", "/nursery/orders", orderBody(id), "Lovagelane-Ticket", ticket)
+			a = send(l.cl.ctx, address, "POST", "/nursery/orders", orderBody(id), "Lovagelane-Ticket", ticket)
 		} else {
-			a = send(s.cl.ctx, address, "GET", "/nursery/stock?request="+id, nil)
+			a = send(l.cl.ctx, address, "GET", "/nursery/stock?request="+id, nil)
 		}
 		switch {
 		case a.err != nil:
@@ -84,10 +84,10 @@
 	return errors.New("no node accepted the request in 10 attempts")
 }
 
-func (s *drainLoad) awaitAnswers(n int64) {
-	from := s.answers.Load()
-	s.cl.eventually("further answers", func(context.Context) error {
-		if got := s.answers.Load() - from; got < n {
+func (l *drainLoad) awaitAnswers(n int64) {
+	from := l.answers.Load()
+	l.cl.eventually("further answers", func(context.Context) error {
+		if got := l.answers.Load() - from; got < n {
 			return fmt.Errorf("%d of %d", got, n)
 		}
 		return nil
@@ -107,8 +107,8 @@
 
 // requireDrained waits until no other node sees the place as serving, and checks that its backend server gets no new calls
 // from then on.
-func (s *drainLoad) requireDrained(p *testbed.Place, id string, others []*testbed.Place) {
-	cl := s.cl
+func (l *drainLoad) requireDrained(p *testbed.Place, id string, others []*testbed.Place) {
+	cl := l.cl
 	cl.t.Helper()
 	for _, other := range others {
 		if other == p {
@@ -125,9 +125,9 @@
 	}
 	cl.t.Log(p.Node.Name, "is known to be leaving", time.Now().Format("05.000"))
 	// By the time these answers have arrived, calls that were in flight when the state spread have ended.
-	s.awaitAnswers(24)
+	l.awaitAnswers(24)
 	before := cl.callCount(p)
-	s.awaitAnswers(60)
+	l.awaitAnswers(60)
 	require.Equal(cl.t, before, cl.callCount(p), "%s got new calls while its place is leaving", p.Backend.Name)
 }
 
@@ -141,12 +141,12 @@
 	// The last remaining place has slots for all callers: a place without free slots may refuse reads.
 	services[1].Slots = drainCallers
 	cl := newCluster(t, orderRules, services...)
-	s := &drainLoad{cl: cl, listSource: cl.PlacesOf("payments")[0]}
-	load, stop := context.WithCancel(cl.ctx)
+	load := &drainLoad{cl: cl, listSource: cl.PlacesOf("payments")[0]}
+	loadCtx, stop := context.WithCancel(cl.ctx)
 	defer stop()
 	var g errgroup.Group
 	for i := range drainCallers {
-		g.Go(func() error { return s.sendRequests(load, fmt.Sprintf("s%d", i), uint64(i)) })
+		g.Go(func() error { return load.sendRequests(loadCtx, fmt.Sprintf("s%d", i), uint64(i)) })
 	}
 	nursery := cl.PlacesOf("nursery")
 	remaining := cl.Places
@@ -159,13 +159,13 @@
 		}
 		remaining = rest
 	}
-	s.awaitAnswers(100)
+	load.awaitAnswers(100)
 
 	unhealthy := nursery[0]
 	id := cl.memberID(unhealthy)
 	require.NoError(t, unhealthy.SetFaults(cl.ctx, standin.BackendFaults{Unhealthy: pointer(true)}))
 	cl.awaitStatus(unhealthy, "detects its unhealthy backend server", func(st node.Status) bool { return !st.BackendServerUp })
-	s.requireDrained(unhealthy, id, remaining)
+	load.requireDrained(unhealthy, id, remaining)
 	require.NoError(t, unhealthy.SetFaults(cl.ctx, standin.BackendFaults{Unhealthy: pointer(false)}))
 	cl.awaitServing(unhealthy, 1)
 	t.Log("the unhealthy place is up again", time.Now().Format("05.000"))
@@ -191,13 +191,13 @@
 			cancel()
 			require.Zero(t, p.Node.ExitCode())
 			removePlace(p)
-			s.requireDrained(p, id, remaining)
+			load.requireDrained(p, id, remaining)
 			continue
 		}
 		r := send(cl.ctx, p.Admin, "POST", "/drain", nil)
 		require.NoError(t, r.err)
 		require.Equal(t, http.StatusOK, r.status, "%s", r.body)
-		s.requireDrained(p, id, remaining)
+		load.requireDrained(p, id, remaining)
 		removePlace(p)
 	}
 	t.Log("load ends", time.Now().Format("05.000"))
--- a/failure/once_test.go
+++ b/failure/once_test.go
@@ -59,24 +59,24 @@
 	sends   []sendRecord
 }
 
-func (o *orderLoad) sendOrders(ctx context.Context, name string, seed uint64) {
+func (l *orderLoad) sendOrders(ctx context.Context, name string, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	addresses := o.cl.CallerAddresses()
+	addresses := l.cl.CallerAddresses()
 	for i := 0; ctx.Err() == nil; i++ {
 		order := fmt.Sprintf("%s-%d", name, i)
 		ticket := ""
 		for k := range 6 {
 			id := fmt.Sprintf("%s/%d", order, k)
 			// The send uses the test's context and not ctx, so that a send in flight completes and every answer is checked.
-			a := send(o.cl.ctx, addresses[r.IntN(len(addresses))], "POST", "/nursery/orders", orderBody(order),
+			a := send(l.cl.ctx, addresses[r.IntN(len(addresses))], "POST", "/nursery/orders", orderBody(order),
 				"Lovagelane-Ticket", ticket, "Send", id)
 			if a.ticket != "" {
 				ticket = a.ticket
 			}
-			o.mu.Lock()
-			o.sends = append(o.sends, sendRecord{order, id, a})
-			o.mu.Unlock()
-			o.answers.Add(1)
+			l.mu.Lock()
+			l.sends = append(l.sends, sendRecord{order, id, a})
+			l.mu.Unlock()
+			l.answers.Add(1)
 			if a.outcome == "ran" || a.reason == "owner-gone" {
 				break
 			}
@@ -85,10 +85,10 @@
 }
 
 // awaitAnswers waits until callers have received n more answers.
-func (o *orderLoad) awaitAnswers(n int64) {
-	from := o.answers.Load()
-	o.cl.eventually("further answers", func(context.Context) error {
-		if got := o.answers.Load() - from; got < n {
+func (l *orderLoad) awaitAnswers(n int64) {
+	from := l.answers.Load()
+	l.cl.eventually("further answers", func(context.Context) error {
+		if got := l.answers.Load() - from; got < n {
 			return fmt.Errorf("%d of %d", got, n)
 		}
 		return nil
@@ -96,10 +96,10 @@
 }
 
 // verify compares every answer with the requests that backend servers started, and returns the number of answers by outcome.
-func (o *orderLoad) verify() map[string]int {
-	t := o.cl.t
+func (l *orderLoad) verify() map[string]int {
+	t := l.cl.t
 	runs, bySend := map[string]int{}, map[string]int{}
-	for _, s := range o.cl.starts() {
+	for _, s := range l.cl.starts() {
 		runs[s.Path+" "+s.Order]++
 		if s.Path == "/orders" {
 			bySend[s.Send]++
@@ -109,7 +109,7 @@
 		require.Equal(t, 1, n, "order %s ran more than once", key)
 	}
 	outcomes := map[string]int{}
-	for _, s := range o.sends {
+	for _, s := range l.sends {
 		outcome := s.outcome
 		if s.err != nil {
 			outcome = "no answer"
@@ -132,30 +132,30 @@
 // and checks every answer.
 func (cl *cluster) killDuringOrders(seed uint64, kills int, places []*testbed.Place) {
 	const callers = 10
-	o := &orderLoad{cl: cl}
-	load, stop := context.WithCancel(cl.ctx)
+	load := &orderLoad{cl: cl}
+	loadCtx, stop := context.WithCancel(cl.ctx)
 	defer stop()
 	var g errgroup.Group
 	for i := range callers {
-		g.Go(func() error { o.sendOrders(load, fmt.Sprintf("o%d", i), seed+uint64(i)); return nil })
+		g.Go(func() error { load.sendOrders(loadCtx, fmt.Sprintf("o%d", i), seed+uint64(i)); return nil })
 	}
 	r := rand.New(rand.NewPCG(seed, 2))
-	o.awaitAnswers(50)
+	load.awaitAnswers(50)
 	for range kills {
 		p := places[r.IntN(len(places))]
-		victim := p.Node
+		process := p.Node
 		if r.IntN(2) == 0 {
-			victim = p.Backend
+			process = p.Backend
 		}
-		require.NoError(cl.t, victim.Kill())
-		o.awaitAnswers(50)
-		require.NoError(cl.t, victim.Start())
+		require.NoError(cl.t, process.Kill())
+		load.awaitAnswers(50)
+		require.NoError(cl.t, process.Start())
 		cl.awaitServing(p, 1)
-		o.awaitAnswers(50)
+		load.awaitAnswers(50)
 	}
 	stop()
 	require.NoError(cl.t, g.Wait())
-	outcomes := o.verify()
+	outcomes := load.verify()
 	cl.t.Log("answers by outcome:", outcomes)
 	require.NotZero(cl.t, outcomes["ran"])
 	require.NotZero(cl.t, outcomes["unknown"]+outcomes["no answer"], "no kill hit a call in flight")
@@ -168,7 +168,7 @@
 	cl.killDuringOrders(1, 8, cl.Places)
 }
 
-// Guards against a paused owner that, when it resumes, starts an order whose caller already got the outcome "unknown", also if
+// Guards against a frozen owner that, when it resumes, starts an order whose caller already got the outcome "unknown", also if
 // the configuration changed in the meantime.
 func TestFrozenOwnerDoesNotStartExpiredOrder(t *testing.T) {
 	cl := newCluster(t, orderRules, orderServices("5ms")...)
@@ -176,7 +176,7 @@
 	sendVia := func(ticket, order string) reply {
 		return send(cl.ctx, entry.Callers, "POST", "/nursery/orders", orderBody(order), "Lovagelane-Ticket", ticket)
 	}
-	// The first order opens the connection on which the second order then waits for the paused owner.
+	// The first order opens the connection on which the second order then waits for the frozen owner.
 	first := sendVia(cl.ticket(owner, "/nursery/orders", "first"), "first")
 	require.Equal(t, "ran", first.outcome, "%+v", first)
 
@@ -189,14 +189,14 @@
 	require.Contains(t, out, "accepted as version 2")
 	require.NoError(t, owner.Node.Resume())
 	cl.awaitServing(owner, 2)
-	// By the time a new order through the owner has ended, the owner has processed everything that it received while paused.
+	// By the time a new order through the owner has ended, the owner has processed everything that it received while frozen.
 	after := sendVia(cl.ticket(owner, "/nursery/orders", "after"), "after")
 	require.Equal(t, "ran", after.outcome, "%+v", after)
 	require.Zero(t, cl.startCount("/orders", "late"), "the resumed owner started an order whose deadline had passed")
 }
 
-// Guards against an order that starts twice when its owner is paused after it sent the call, and the caller, which got the
-// outcome "unknown", resends the order during and after the pause.
+// Guards against an order that starts twice when its owner is frozen after it sent the call, and the caller, which got the
+// outcome "unknown", resends the order while the owner is frozen and after it has resumed.
 func TestFrozenOwnerRemembersStartedOrder(t *testing.T) {
 	cl := newCluster(t, orderRules, orderServices("300ms")...)
 	owner, entry := cl.PlacesOf("nursery")[0], cl.PlacesOf("nursery")[1]
