--- a/failure/cluster_test.go
+++ b/failure/cluster_test.go
@@ -33,6 +33,7 @@
 )
 
 var (
+	// bin is the directory of the programs under test.
 	bin          string
 	processSlots = semaphore.NewWeighted(maxProcesses)
 )
--- a/inventory/parse_test.go
+++ b/inventory/parse_test.go
@@ -27,7 +27,7 @@
 	return files, want
 }
 
-// caseDirs returns the test directories, each with input files and problems.txt.
+// caseDirs returns the directories of the test cases. Each contains input files and the expected problems in problems.txt.
 func caseDirs(t testing.TB) []string {
 	dirs, err := filepath.Glob("testdata/problems/*")
 	require.NoError(t, err)
