--- a/directory/directory.go
+++ b/directory/directory.go
@@ -84,7 +84,8 @@
 	entries map[string]Entry
 	// reported holds the state that a node reported over a connection after its row was read.
 	reported map[string]Node
-	// pendingDepartures holds, by node address, the departures that other nodes could not write to the store.
+	// pendingDepartures holds, by node address, the departures that this node keeps for other nodes, since the store may not
+	// hold them yet.
 	pendingDepartures map[string]Incarnation
 	version           uint64
 }
@@ -211,7 +212,7 @@
 	return h.Sum32()
 }
 
-// AddPendingDeparture stores the departure of another node's backend server, which that node could not write to the store.
+// AddPendingDeparture stores the departure of another node's backend server, which may not be in the store yet.
 func (d *Directory) AddPendingDeparture(address string, b Incarnation) {
 	if d.pendingDepartures == nil {
 		d.pendingDepartures = map[string]Incarnation{}
--- a/disconnect/watch.go
+++ b/disconnect/watch.go
@@ -12,7 +12,7 @@
 // Watcher detects when waiting callers close their connection. The zero value is ready to use.
 type Watcher struct {
 	mu      sync.Mutex
-	nextID  uint64
+	lastID  uint64
 	callers map[uint64]*waitingCaller
 }
 
@@ -38,8 +38,8 @@
 	if w.callers == nil {
 		w.callers = map[uint64]*waitingCaller{}
 	}
-	w.nextID++
-	id := w.nextID
+	w.lastID++
+	id := w.lastID
 	w.callers[id] = caller
 	return caller.disconnected, func() {
 		w.mu.Lock()
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -93,8 +93,8 @@
 func (n *node) hasReceived(what string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, h := range n.received {
-		if h == what {
+	for _, message := range n.received {
+		if message == what {
 			return true
 		}
 	}
--- a/link/transport.go
+++ b/link/transport.go
@@ -19,7 +19,8 @@
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Handler handles the messages of other nodes. Its methods must not block.
+// Handler handles the messages of other nodes. Its methods must not block. Status is called while a Peer is locked, so it must
+// not call the Transport.
 type Handler interface {
 	// Hello returns the payload of this node's hello frame.
 	Hello() []byte
--- a/mesh/announce.go
+++ b/mesh/announce.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// backendStateChangedLocked updates the queue and the candidates after a change of the own backend server. If it takes no
-// calls, its queued calls are returned at once so that they can go to other nodes. It returns the addresses of the nodes to
-// keep connections to.
+// backendStateChangedLocked updates the queue and the candidates after a change of the own backend server or of the
+// configuration. If the backend server takes no calls, its queued calls are returned at once so that they can go to other
+// nodes. It returns the addresses of the nodes to keep connections to.
 func (n *Node) backendStateChangedLocked() []string {
 	_, state := n.tracker.Current()
 	if state != directory.Serving {
@@ -140,7 +140,7 @@
 func (n *Node) recordDeparture(b directory.Incarnation) bool {
 	ctx, cancel := context.WithTimeout(n.group.Context(), departureTimeout)
 	defer cancel()
-	kept := n.replicateDeparture(b)
+	acked := n.replicateDeparture(b)
 	written := make(chan struct{})
 	n.group.Go("record-leaving", func(group context.Context) error {
 		if n.writeOwnRow(group) {
@@ -151,7 +151,7 @@
 	where := "store"
 	select {
 	case <-written:
-	case <-kept:
+	case <-acked:
 		where = "node"
 	case <-ctx.Done():
 		n.log.Warn("leaving-not-recorded", "id", b.ID)
@@ -167,14 +167,14 @@
 // replicateDeparture sends a departure to other nodes. The channel is closed when the first one confirms that it keeps it.
 func (n *Node) replicateDeparture(b directory.Incarnation) <-chan struct{} {
 	n.mu.Lock()
-	kept, ok := n.departureAcks[b]
+	acked, ok := n.departureAcks[b]
 	if !ok {
-		kept = make(chan struct{})
-		n.departureAcks[b] = kept
+		acked = make(chan struct{})
+		n.departureAcks[b] = acked
 	}
 	n.mu.Unlock()
 	n.transport.Broadcast(encode(gossipMessage{KeepDeparture: &departure{Address: n.settings.CallsAddress, Backend: b}}))
-	return kept
+	return acked
 }
 
 // writeOwnRowAsync writes the row of this node in the background.
--- a/mesh/backend.go
+++ b/mesh/backend.go
@@ -307,7 +307,7 @@
 	}
 }
 
-// runTask returns a task that runs a job on its own goroutine, for when all workers are busy.
+// runTask returns a task that runs a job on its own goroutine, for when the queue of the workers is full.
 func (n *Node) runTask(j *job) func(ctx context.Context) error {
 	return func(context.Context) error {
 		n.runJob(j)
--- a/mesh/caller.go
+++ b/mesh/caller.go
@@ -45,7 +45,8 @@
 	maxWait, waited time.Duration
 	// shortestWait is the shortest expected queue wait that a busy node reported, at least minRetryAfter.
 	shortestWait time.Duration
-	// excluded holds the nodes that are not tried again, and offeredWait the last wait limit of the request at each node.
+	// excluded holds the nodes that are not tried again, and offeredWait, by node, how long the last call sent there could be
+	// queued.
 	excluded    kernel.Set[string]
 	offeredWait map[string]time.Duration
 	// mayHaveRun is set once a backend server's answer was lost.
@@ -143,7 +144,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r.service = n.splits.Next(r.route, n.rand)
-	n.windows.CountRequest(now, r.service)
+	n.retryBudgets.CountRequest(now, r.service)
 	r.maxWait = maxQueueWait(r.route, remaining, n.chooser.TypicalRunTime(r.route.Name), n.config.Load().LeastImportantRank())
 }
 
--- a/mesh/forward.go
+++ b/mesh/forward.go
@@ -124,7 +124,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ok := n.windows.Withdraw(now, r.service, 1, len(n.directory.Nodes()))
+	ok := n.retryBudgets.Withdraw(now, r.service, 1, len(n.directory.Nodes()))
 	if ok {
 		n.metrics.Add("repeats", 1, r.service)
 	} else {
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -49,7 +49,8 @@
 	// callerIdleTimeout is how long a caller's connection may be idle. It exceeds the idle timeout of callers, so that the
 	// node does not close a connection just as a request arrives on it.
 	callerIdleTimeout = 60 * time.Second
-	// maxWorkers limits the calls in flight to the own backend server, and maxQueuedRuns the calls that wait for a worker.
+	// maxWorkers is the number of workers that run calls at the own backend server, and maxQueuedRuns the number of calls that
+	// wait for a worker. Any further call runs on its own goroutine.
 	maxWorkers    = 4096
 	maxQueuedRuns = 4096
 	// removalChecks is the number of checks for unreachable nodes within Options.RemoveUnreachableAfter.
@@ -105,18 +106,18 @@
 
 	mu sync.Mutex
 	// configText is the encoded configuration in force, as read from the store. It is sent to other nodes.
-	configText []byte
-	directory  directory.Directory
-	tracker    directory.Tracker
-	queue      slots.Queue
-	caps       slots.Caps
-	jobs       map[uint64]*job
-	nextJob    uint64
-	chooser    dispatch.Chooser
-	splits     routing.TrafficSplitter
-	windows    retry.WindowBudgets
-	quarantine quarantine.Table
-	recovery   recovery
+	configText   []byte
+	directory    directory.Directory
+	tracker      directory.Tracker
+	queue        slots.Queue
+	caps         slots.Caps
+	jobs         map[uint64]*job
+	lastJobID    uint64
+	chooser      dispatch.Chooser
+	splits       routing.TrafficSplitter
+	retryBudgets retry.WindowBudgets
+	quarantine   quarantine.Table
+	recovery     recovery
 	// behindSince is when another node first reported a newer version of the configuration or of the directory.
 	behindSince struct{ config, directory time.Time }
 	// departureAcks has a channel for each departure of the own backend server that was sent to other nodes; the channel is
@@ -174,7 +175,7 @@
 	}
 	n.rand = kernel.NewRand(seed)
 	n.service = o.Settings.Service
-	n.windows = retry.WindowBudgets{Ratio: o.Settings.RepeatRatio, Fixed: float64(o.Settings.RepeatsAllowed),
+	n.retryBudgets = retry.WindowBudgets{Ratio: o.Settings.RepeatRatio, Fixed: float64(o.Settings.RepeatsAllowed),
 		Length: o.Settings.RepeatWindow}
 	n.backend = newBackend(n, o.Settings.BackendServer)
 	n.group = kernel.NewGroup(ctx)
--- a/mesh/serving.go
+++ b/mesh/serving.go
@@ -26,9 +26,9 @@
 	running   bool
 	cancelled bool
 	done      bool
-	// capped is set if the call counts against the cap of its route; admission is then the value that Caps.Admit returned.
-	capped    bool
-	admission int
+	// capped is set if the call counts against the cap of its route; capGeneration is then the value that Caps.Admit returned.
+	capped        bool
+	capGeneration int
 	// conn is the connection to the backend server that carries the call.
 	conn *backendConn
 }
@@ -52,8 +52,8 @@
 	j := &job{n: n, m: m, remote: remote, arrived: now,
 		deadline: now.Add(time.Duration(m.RemainingMS) * time.Millisecond), complete: complete}
 	n.mu.Lock()
-	n.nextJob++
-	j.id = n.nextJob
+	n.lastJobID++
+	j.id = n.lastJobID
 	a, done := n.admitLocked(now, j)
 	n.mu.Unlock()
 	if done {
@@ -76,7 +76,7 @@
 		return n.answerLocked(j, outcomeQuarantined, "quarantined"), true
 	}
 	if cfg := n.config.Load(); cfg != nil && j.m.Rank >= cfg.LeastImportantRank() && cfg.LeastImportantRank() > 0 {
-		if j.admission, j.capped = n.caps.Admit(j.m.Route, n.queue.Limit()); !j.capped {
+		if j.capGeneration, j.capped = n.caps.Admit(j.m.Route, n.queue.Limit()); !j.capped {
 			return n.answerLocked(j, outcomeCapped, "short-below"), true
 		}
 	}
@@ -110,7 +110,7 @@
 		n.caps.Cancel(j.m.Route)
 	default:
 		late := x.status >= fasthttp.StatusInternalServerError && ran > j.deadline.Sub(j.started)/2
-		n.caps.Finish(j.m.Route, j.admission, n.queue.Limit(), late)
+		n.caps.Finish(j.m.Route, j.capGeneration, n.queue.Limit(), late)
 		n.metrics.Set("route-cap", int64(n.caps.Limit(j.m.Route)), j.m.Route)
 	}
 }
@@ -126,7 +126,7 @@
 	return a
 }
 
-// startLocked runs a job on a worker, or on its own goroutine if no worker is free.
+// startLocked runs a job on a worker, or on its own goroutine if the queue of the workers is full.
 func (n *Node) startLocked(now time.Time, j *job) {
 	j.started, j.running = now, true
 	if !n.pool.Submit(func() { n.runJob(j) }) {
