--- a/node/backend.go
+++ b/node/backend.go
@@ -193,7 +193,7 @@
 	if !errors.Is(err, io.EOF) && !errors.Is(err, fasthttp.ErrConnectionClosed) && !errors.Is(err, syscall.ECONNRESET) {
 		return false
 	}
-	reports := n.quarantined.recordCrash(n.clock.Now(), crashID(n.self.ID, n.backend.countConnectionLoss()), []uint64{f.meta.Digest})
+	reports := n.quarantine.recordCrash(n.clock.Now(), crashID(n.self.ID, n.backend.countConnectionLoss()), []uint64{f.meta.Digest})
 	n.log.Warn("backend-server-broke-off", "request", f.meta.RequestID, "error", err, "suspects", len(reports))
 	n.metrics.Add("backend-server-broken-calls", 1)
 	n.control.FloodCrashes(reports)
@@ -210,7 +210,7 @@
 		return
 	}
 	digests := n.flights.runningDigests()
-	reports := n.quarantined.recordCrash(n.clock.Now(), crashID(n.self.ID, crash), digests)
+	reports := n.quarantine.recordCrash(n.clock.Now(), crashID(n.self.ID, crash), digests)
 	n.log.Warn("backend-server-crashed", "in-flight", len(digests), "suspects", len(reports))
 	n.metrics.Add("backend-server-crashes", 1)
 	n.choosers.update(n, *n.members.Load())
--- a/node/caller.go
+++ b/node/caller.go
@@ -89,7 +89,7 @@
 	}
 	op := in.op
 	out := n.newOutbound(ctx, in, arrived, caller)
-	if n.quarantined.refuses(arrived, out.digest, 0) {
+	if n.quarantine.refuses(arrived, out.digest, 0) {
 		n.refuseCaller(ctx, &op, refusal(call.ReasonQuarantined, call.OutcomeNotRun, op.Line.String()))
 		return
 	}
@@ -168,9 +168,9 @@
 		n.refuseCaller(ctx, &out.op, refusal(call.ReasonShed, call.OutcomeNotRun, n.levelRule(out.op)))
 		return
 	}
-	watch, stop := n.watch.Add(ctx.Conn())
+	callerGone, stop := n.callerWatch.Add(ctx.Conn())
 	defer stop()
-	out.cancelled = watch
+	out.cancelled = callerGone
 	r := n.forward(out)
 	if _, ok := r.(refused); ok {
 		gotAnswer = out.attemptCount == 0
@@ -182,7 +182,7 @@
 	return "class " + op.ClassLine.String() + "; level learned from the answers of " + op.Service
 }
 
-// finishRequest records the admission level that the call brought back and answers the caller.
+// finishRequest records the admission level that the answers to the call reported, and answers the caller.
 func (n *Node) finishRequest(ctx *fasthttp.RequestCtx, out *outbound, r reply) {
 	n.entryAdmission.learnLevel(n.clock.Now(), out.op.Name, out.level)
 	n.writeReply(ctx, out, r)
--- a/node/flight.go
+++ b/node/flight.go
@@ -21,7 +21,7 @@
 	return &retryBudget{policy: policy, retries: budget}
 }
 
-// forCall returns the budget for one call that the holder of b makes.
+// forCall returns the budget for one outgoing call of the parent call that b belongs to.
 func (b *retryBudget) forCall() *retryBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/node/forward.go
+++ b/node/forward.go
@@ -55,7 +55,8 @@
 	meta call.AnswerMeta
 }
 
-// storedAnswer is an answer that the serving node kept and that was queried because its connection went silent.
+// storedAnswer replaces an answer whose response was lost. Either the serving node returned its stored copy to a query, or the
+// answer is truncated and reports only that the call ran.
 type storedAnswer struct{ answer ticket.Answer }
 
 // refused is the result of a call without an answer.
@@ -80,9 +81,9 @@
 	excluded := kernel.Set[string](nil)
 	var last reply
 	for {
-		h, stop := n.startAttempt(out, c, excluded)
-		if stop != nil {
-			return selectReply(last, stop)
+		h, final := n.startAttempt(out, c, excluded)
+		if final != nil {
+			return selectReply(last, final)
 		}
 		result := h.wait()
 		n.metrics.Add("attempts", int64(h.launchCount), out.op.Service)
@@ -130,7 +131,7 @@
 		call.ReasonBodyTooLarge, call.ReasonRetriesSpent, call.ReasonUnknownService:
 		return false
 	}
-	if n.quarantined.refuses(n.clock.Now(), out.digest, out.crashes) {
+	if n.quarantine.refuses(n.clock.Now(), out.digest, out.crashes) {
 		return false
 	}
 	return out.budget.take()
--- a/node/header.go
+++ b/node/header.go
@@ -13,18 +13,18 @@
 
 // Header names between callers, nodes and backend servers.
 const (
-	headerCall      = "Lovagelane-Call"
-	headerAnswer    = "Lovagelane-Answer"
-	headerContext   = "Lovagelane-Context"
-	headerDeadline  = "Lovagelane-Deadline-Ms"
-	headerOutcome   = "Lovagelane-Outcome"
-	headerReason    = "Lovagelane-Reason"
-	headerRule      = "Lovagelane-Rule"
-	headerTicket    = "Lovagelane-Ticket"
-	headerResend    = "Lovagelane-Resend"
-	headerRequestID = "Lovagelane-Request-Id"
-	headerCaller    = "Lovagelane-Caller"
-	headerKey       = "Idempotency-Key"
+	headerCall           = "Lovagelane-Call"
+	headerAnswer         = "Lovagelane-Answer"
+	headerContext        = "Lovagelane-Context"
+	headerDeadline       = "Lovagelane-Deadline-Ms"
+	headerOutcome        = "Lovagelane-Outcome"
+	headerReason         = "Lovagelane-Reason"
+	headerRule           = "Lovagelane-Rule"
+	headerTicket         = "Lovagelane-Ticket"
+	headerResend         = "Lovagelane-Resend"
+	headerRequestID      = "Lovagelane-Request-Id"
+	headerCaller         = "Lovagelane-Caller"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
 const headerPrefix = "Lovagelane-"
--- a/node/hedge.go
+++ b/node/hedge.go
@@ -7,8 +7,8 @@
 	"lovagelane/call"
 )
 
-// maxMisses is how many times a serving node must not know an idempotent attempt before its answer counts as lost. The first
-// time, the answer may still be in transit.
+// maxMisses is the number of queries to which a serving node answers that it does not know an idempotent attempt, before the
+// answer to the attempt counts as lost. At the first such query, the answer may still be in transit.
 const maxMisses = 2
 
 // race selects the first answer among the attempts of a hedgedAttempt. The other results are discarded.
--- a/node/inner.go
+++ b/node/inner.go
@@ -119,7 +119,7 @@
 
 // handleInnerOnce makes a non-idempotent inner call at most once per idempotency key within its parent.
 func (n *Node) handleInnerOnce(ctx *fasthttp.RequestCtx, f *flight, out *outbound) {
-	key := string(ctx.Request.Header.Peek(headerKey))
+	key := string(ctx.Request.Header.Peek(headerIdempotencyKey))
 	if key == "" || len(key) > 128 {
 		key = call.DigestKey(out.digest)
 	}
--- a/node/input_test.go
+++ b/node/input_test.go
@@ -158,11 +158,11 @@
 		name, value, _ := strings.Cut(header, ": ")
 		r := d.send(s.Addresses().Callers, "GET", fmt.Sprintf("/nursery/%d", i), "", name, value)
 		require.Equal(t, 200, r.StatusCode(), "%s: %s", header, r.Body())
-		var left int
-		_, err := fmt.Sscan(string(r.Body()), &left)
+		var remainingMS int
+		_, err := fmt.Sscan(string(r.Body()), &remainingMS)
 		require.NoError(t, err)
-		require.Greater(t, left, 0, header)
-		require.LessOrEqual(t, left, 5000, header)
+		require.Greater(t, remainingMS, 0, header)
+		require.LessOrEqual(t, remainingMS, 5000, header)
 	}
 }
 
@@ -256,10 +256,10 @@
 
 // Guards against calls from peers without a node's key, and against peers with an operator's key that reach paths for nodes.
 func TestPeersWithoutNodeKeyAreRefused(t *testing.T) {
-	d, stranger := newDeployment(t, chainInventory, chainRules), newDeployment(t, chainInventory, chainRules)
+	d, otherDeployment := newDeployment(t, chainInventory, chainRules), newDeployment(t, chainInventory, chainRules)
 	s := d.startInstance("nursery", text("ok"))
 	good := call.Meta{RequestID: "r", Attempt: call.Attempt{Sender: "a", Receiver: s.Status().Member.ID, Seq: 1 << 60}, RemainingMS: 5000}
-	for name, dir := range map[string]string{"no key": "", "another authority": stranger.dir} {
+	for name, dir := range map[string]string{"no key": "", "another authority": otherDeployment.dir} {
 		resp, _ := sendRaw(dialCalls(t, s.Addresses().Calls, dir, keys.RoleNode), []byte(callRequest(good.Encode())))
 		require.Nil(t, resp, name)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -44,8 +44,8 @@
 	maxCallerConnections = 768
 	maxNodeConnections   = 2048
 	maxAdminConnections  = 32
-	// disconnectTicks is the number of admission ticks between checks for disconnected callers.
-	disconnectTicks = 3
+	// disconnectCheckTicks is the number of admission ticks between checks for disconnected callers.
+	disconnectCheckTicks = 3
 	// idleTickInterval is the admission tick interval while no call runs or waits.
 	idleTickInterval = 50 * time.Millisecond
 	// drainGracePeriod is how long calls are still accepted after a drain is announced, while the announcement spreads.
@@ -102,10 +102,12 @@
 	// cannot choose their value.
 	ticketKeys [][]byte
 
-	config         atomic.Pointer[inventory.Config]
-	members        atomic.Pointer[map[string]membership.Member]
-	draining       atomic.Bool
-	refusing       atomic.Bool
+	config  atomic.Pointer[inventory.Config]
+	members atomic.Pointer[map[string]membership.Member]
+	// draining is set when a drain is announced, and refusing after its grace period, when new calls are refused.
+	draining atomic.Bool
+	refusing atomic.Bool
+	// entryCount counts the requests in flight that entered the deployment at this node.
 	entryCount     atomic.Int64
 	attemptSeq     *ticket.Sequence
 	flights        flights
@@ -116,9 +118,9 @@
 	resends        resendTracker
 	ticketOwner    ticketOwner
 	attempts       attemptTable
-	quarantined    quarantineTable
+	quarantine     quarantineTable
 	entryAdmission entryAdmission
-	watch          disconnect.Watcher
+	callerWatch    disconnect.Watcher
 
 	servers   []*fasthttp.Server
 	addresses Addresses
@@ -168,15 +170,15 @@
 		case <-timer.C:
 		}
 		n.gate.tick(n.clock.Now())
-		if ticks%disconnectTicks == 0 {
-			n.watch.Check()
+		if ticks%disconnectCheckTicks == 0 {
+			n.callerWatch.Check()
 		}
 		timer.Reset(n.nextTickInterval())
 	}
 }
 
 func (n *Node) nextTickInterval() time.Duration {
-	if n.gate.idle() && n.watch.Count() == 0 {
+	if n.gate.idle() && n.callerWatch.Count() == 0 {
 		return idleTickInterval
 	}
 	return admissionTickInterval
@@ -274,7 +276,7 @@
 		Self: n.self, Listen: o.Settings.ControlListen, Seeds: o.Settings.Seeds, Store: o.Settings.Store,
 		Keyring: n.keyring, Clock: n.clock, Rand: n.rand, Log: n.log, Metrics: n.metrics,
 		OnMembers: n.setMembers, OnConfig: n.setConfig,
-		OnCrash: func(r quarantine.Report) { n.quarantined.merge(n.clock.Now(), r) },
+		OnCrash: func(r quarantine.Report) { n.quarantine.merge(n.clock.Now(), r) },
 	})
 	if err != nil {
 		return err
@@ -289,17 +291,17 @@
 	s := &fasthttp.Server{
 		Handler: handler, Name: "lovagelane", StreamRequestBody: true, Concurrency: connections, MaxRequestBodySize: maxBufferedBody,
 		ReadBufferSize: maxHeaderBytes, ReadTimeout: requestReadTimeout, IdleTimeout: serverIdleTimeout, NoDefaultDate: true,
-		NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true, Logger: quietLogger{},
+		NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true, Logger: discardLogger{},
 		ErrorHandler: n.refuseUnreadable,
 	}
 	n.servers = append(n.servers, s)
 	n.group.Go(name, func(context.Context) error { return s.Serve(ln) })
 }
 
-// quietLogger discards the per-connection errors of fasthttp, which any caller could cause in any number.
-type quietLogger struct{}
+// discardLogger discards the per-connection errors of fasthttp, which any caller could cause in any number.
+type discardLogger struct{}
 
-func (quietLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Addresses returns the addresses of the node's listeners.
 func (n *Node) Addresses() Addresses { return n.addresses }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -189,7 +189,7 @@
 	d := newDeployment(t, deepChain(depth), "[class pages]\nrank = 6\ndefault = yes\n")
 	var calls atomic.Int64
 	entry := d.startInstance("a1", text(""))
-	stations := []*instance{entry}
+	instances := []*instance{entry}
 	for i := 1; i <= depth; i++ {
 		h := func(ctx *fasthttp.RequestCtx, call func(string, string, string) *fasthttp.Response) {
 			r := call("GET", fmt.Sprintf("/a%d/x", i+1), "")
@@ -205,13 +205,13 @@
 			entry.stop()
 		}
 		for range 2 {
-			stations = append(stations, d.startInstance(fmt.Sprintf("a%d", i), h))
+			instances = append(instances, d.startInstance(fmt.Sprintf("a%d", i), h))
 		}
 	}
-	d.send(stations[1].Addresses().Callers, "GET", "/a1/x", "")
+	d.send(instances[1].Addresses().Callers, "GET", "/a1/x", "")
 	require.GreaterOrEqual(t, calls.Load(), int64(2), "nothing was tried again")
 	total := int64(0)
-	for _, s := range stations {
+	for _, s := range instances {
 		total += s.ran.Load()
 	}
 	require.LessOrEqual(t, total, int64(depth+3*depth), "every retry may run the rest of the chain once more")
@@ -222,17 +222,17 @@
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	d := newDeployment(t, chainInventory, chainRules)
 	var crashes atomic.Int64
-	var stations []*instance
+	var instances []*instance
 	crash := func(i int) handler {
 		return func(ctx *fasthttp.RequestCtx, _ func(string, string, string) *fasthttp.Response) {
 			if string(ctx.Path()) == "/poison" {
 				crashes.Add(1)
-				stations[i].crash(ctx)
+				instances[i].crash(ctx)
 			}
 		}
 	}
 	for i := range 4 {
-		stations = append(stations, d.startInstance("nursery", crash(i)))
+		instances = append(instances, d.startInstance("nursery", crash(i)))
 	}
 	entry := d.startInstance("payments", text(""))
 	last := ""
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func (p *relayConn) forward(to, from net.Conn, quiet *bool) error {
+func (p *relayConn) forward(to, from net.Conn, discard *bool) error {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
@@ -82,7 +82,7 @@
 			return nil
 		}
 		p.mu.Lock()
-		drop := *quiet
+		drop := *discard
 		p.mu.Unlock()
 		if !drop {
 			_, _ = to.Write(b[:n])
@@ -90,7 +90,8 @@
 	}
 }
 
-// silence makes every open connection silent from now on. New connections work.
+// silence discards, on every connection that is open now, what the caller (up) or the other end (down) sends from now on. New
+// connections work.
 func (r *relay) silence(up, down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/serving.go
+++ b/node/serving.go
@@ -148,7 +148,7 @@
 		return call.ReasonFenced
 	case !n.backend.isUp():
 		return call.ReasonNoBackendServer
-	case n.quarantined.refuses(now, meta.Digest, int(meta.Crashes)):
+	case n.quarantine.refuses(now, meta.Digest, int(meta.Crashes)):
 		return call.ReasonQuarantined
 	}
 	return call.ReasonNone
@@ -237,7 +237,7 @@
 	default:
 		n.reportCrash()
 		if !n.backend.isUp() || n.reportConnectionLoss(f, err) {
-			f.recordDownstream(f.level, max(int(f.meta.Crashes)+1, n.quarantined.crashCount(n.clock.Now(), f.meta.Digest)))
+			f.recordDownstream(f.level, max(int(f.meta.Crashes)+1, n.quarantine.crashCount(n.clock.Now(), f.meta.Digest)))
 			n.awaitCrashSpread(f.deadline)
 		}
 	}
@@ -264,7 +264,7 @@
 		n.failFlight(ctx, f, err, end)
 		return
 	}
-	if reports := n.quarantined.recordAnswer(n.clock.Now(), f.meta.Digest); len(reports) > 0 {
+	if reports := n.quarantine.recordAnswer(n.clock.Now(), f.meta.Digest); len(reports) > 0 {
 		n.control.FloodCrashes(reports)
 	}
 	copyResponseHeaders(&ctx.Response.Header, &resp.Header)
@@ -306,8 +306,8 @@
 	level, load := n.gate.levelAndLoad()
 	meta := call.AnswerMeta{Allowance: m.Allowance, Level: level, OwnLevel: level, Load: load, Crashes: m.Crashes}
 	if f != nil {
-		below, crashes := f.downstream()
-		meta.Level = call.MoreImportant(level, below)
+		downstreamLevel, crashes := f.downstream()
+		meta.Level = call.MoreImportant(level, downstreamLevel)
 		meta.Allowance, meta.Crashes = uint8(f.budget.remaining()), uint8(crashes)
 	}
 	return meta
