--- a/burn/counts.go
+++ b/burn/counts.go
@@ -95,7 +95,7 @@
 	return c
 }
 
-// Bucket holds the calls of one second, minute or hour. Index numbers them from the start of 1970.
+// Bucket holds the calls of one second, minute or hour. Index counts such periods from the start of 1970.
 type Bucket struct {
 	Index  int64
 	Counts Counts
--- a/call/doc.go
+++ b/call/doc.go
@@ -1,3 +1,3 @@
-// Package call defines the metadata that nodes propagate with a call: priority, deadline, retry allowance and attempt
-// identity with the call, and outcome, load and admission level with the answer.
+// Package call defines the metadata that nodes propagate: priority, deadline, retry allowance and attempt identity with a
+// call, and outcome, load and admission level with its answer.
 package call
--- a/cmd/bench/calls.go
+++ b/cmd/bench/calls.go
@@ -18,7 +18,7 @@
 )
 
 // runCalls offers constant rates to a node of another service and fits a line through the processor times of the calling
-// and of the serving node. The calling node also accepts the request of the outside caller; a node between two services
+// and of the serving node. The calling node also accepts the request of the external caller; a node between two services
 // accepts that request from its backend server.
 func runCalls(ctx context.Context, b *bench) error {
 	services := []testbed.Service{
--- a/control/fault_test.go
+++ b/control/fault_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// Guards against a killed member that stays in the views, and against a paused member that is not accepted again after it
+// Guards against a killed member that stays in the views, and against a frozen member that is not accepted again after it
 // resumes.
 func TestKilledMemberIsRemovedAndPausedMemberRejoins(t *testing.T) {
 	nodes := startRegion(t, 5)
@@ -117,7 +117,7 @@
 	before, _ := childMember(nodes[0])
 
 	require.NoError(t, process.Signal(syscall.SIGSTOP))
-	eventually(t, "the paused child is removed", allHaveChild(nodes, false))
+	eventually(t, "the frozen child is removed", allHaveChild(nodes, false))
 	require.NoError(t, process.Signal(syscall.SIGCONT))
 	eventually(t, "the resumed child is accepted again", allHaveChild(nodes, true))
 	after, _ := childMember(nodes[0])
--- a/control/tuning.go
+++ b/control/tuning.go
@@ -107,7 +107,7 @@
 	maxQueuedFrames = 512
 	// maxBootstrapPeers bounds the peers that a node without a configuration queries at the same time.
 	maxBootstrapPeers = 5
-	// expiredRowLeases is the age, in lease durations, after which a row is deleted. A paused node rewrites its row on resume.
+	// expiredRowLeases is the age, in lease durations, after which a row is deleted. A frozen node rewrites its row on resume.
 	expiredRowLeases = 30
 	// maxExpiredRowDeletes bounds the rows that a node deletes when it reads the whole table.
 	maxExpiredRowDeletes = 8
--- a/disconnect/watch.go
+++ b/disconnect/watch.go
@@ -68,7 +68,7 @@
 }
 
 // Abandoned reports whether the sender of the request that was just read from conn has closed the connection. If this process
-// was paused while the request waited in the socket buffer, the remaining time that the request states counts from its
+// was frozen while the request waited in the socket buffer, the remaining time that the request states counts from its
 // sending, so that only the closed connection shows that the deadline has passed.
 func Abandoned(conn net.Conn) bool {
 	tlsConn, isTLS := conn.(*tls.Conn)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -250,7 +250,7 @@
 	_ = last
 }
 
-// Guards against answers that go out on a connection which the sender has abandoned. A receiver that was paused may accept
+// Guards against answers that go out on a connection which the sender has abandoned. A receiver that was frozen may accept
 // that connection after the live one. Found by the soak test, seed 202.
 func TestAnswerUsesConnectionOfItsCall(t *testing.T) {
 	a, b := start(t, 1, "127.0.0.1:0"), start(t, 2, "127.0.0.1:0")
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,4 +1,4 @@
 // Package membership implements a node's view of all members for a gossip protocol: announcements with incarnations,
-// suspicion and refutation, tombstones, a digest for anti-entropy, and the rings that assign which node watches which. It
-// does no I/O.
+// suspicion and refutation, tombstones, a digest for anti-entropy, and the rings that determine which nodes each node
+// watches. It does no I/O.
 package membership
--- a/membership/view.go
+++ b/membership/view.go
@@ -25,7 +25,7 @@
 	purgeInterval = 10 * time.Second
 )
 
-// Digest is a hash of the live announcements of a view by bucket. Views with the same live announcements have equal digests.
+// Digest holds a hash for each bucket of a view's live announcements. Views with equal live announcements have equal digests.
 type Digest [DigestBuckets]uint64
 
 // Suspicion states that a member is suspected or dead, as of the announcement with the given counter.
--- a/mesh/backend.go
+++ b/mesh/backend.go
@@ -25,7 +25,7 @@
 	// idleTimeoutShare is the part of the backend server's idle timeout after which the node does not reuse a connection.
 	idleTimeoutShare = 0.7
 	// nonIdempotentIdleTimeout is how long a connection may be idle before a non-idempotent call uses it. If the backend
-	// server has closed the connection meanwhile, the node cannot tell whether the call has run, and must not repeat it.
+	// server has closed the connection meanwhile, the node cannot tell whether the call has run, and must not resend it.
 	nonIdempotentIdleTimeout = 500 * time.Millisecond
 	// maxStrayAnswers is the number of answers to other requests that are skipped during one exchange.
 	maxStrayAnswers = 2
--- a/node/caller.go
+++ b/node/caller.go
@@ -80,7 +80,7 @@
 }
 
 // handleEntry handles a request that enters the deployment. Class, priority value, deadline and retry budget come from the
-// rules. The caller is empty for a request from outside, whose headers are checked.
+// rules. Parameter caller is empty for a request of an external caller, whose name is read from its headers and checked.
 func (n *Node) handleEntry(ctx *fasthttp.RequestCtx, caller string) {
 	arrived := n.clock.Now()
 	in, ok := n.matchRequest(ctx)
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -277,7 +277,7 @@
 	require.Eventually(d.t, condition, waitTimeout, 5*time.Millisecond, what)
 }
 
-// send sends a request as a caller from outside.
+// send sends a request as an external caller.
 func (d *deployment) send(address, method, path, body string, headers ...string) *fasthttp.Response {
 	d.t.Helper()
 	resp, err := trySend(address, method, path, body, headers...)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -21,7 +21,7 @@
 	maxCrashIDBytes = 96
 )
 
-// Report states that a request with a digest was in flight when a backend server crashed. Nodes gossip reports to each other.
+// Report states that the request with this digest was in flight when a backend server crashed. Nodes gossip reports.
 type Report struct {
 	Digest uint64 `cbor:"1,keyasint"`
 	// Crash identifies the crash by the member ID and the number of the crash there, so that repeated reports count once.
--- a/retry/requests.go
+++ b/retry/requests.go
@@ -23,7 +23,7 @@
 	maxSends = 3
 )
 
-// Send identifies one send of a request by an outside caller.
+// Send identifies one send of a request by an external caller.
 type Send struct {
 	Caller string
 	// RequestID is the ID that the caller sent, or empty.
--- a/standin/caller.go
+++ b/standin/caller.go
@@ -49,7 +49,7 @@
 
 // Caller generates an open-loop load: the arrival of a request does not depend on the answers to earlier ones.
 type Caller struct {
-	// Addresses are the addresses of the nodes' listeners for outside callers; each request tries a random one first.
+	// Addresses are the addresses of the nodes' listeners for external callers; each request tries a random one first.
 	Addresses []string
 	Kinds     []Kind
 	Profile   Profile
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,3 +1,3 @@
-// Package standin implements test doubles for the external systems of a deployment: the platform's table service and
-// object store, backend servers, and outside callers. The product never imports it.
+// Package standin implements stand-ins for the external systems of a deployment: the platform's table service and object
+// store, backend servers, and external callers. The product never imports it.
 package standin
--- a/testbed/deployment.go
+++ b/testbed/deployment.go
@@ -192,7 +192,7 @@
 	return all
 }
 
-// CallerAddresses returns the addresses of the nodes' listeners for outside callers.
+// CallerAddresses returns the addresses of the nodes' listeners for external callers.
 func (d *Deployment) CallerAddresses() []string {
 	var all []string
 	for _, p := range d.Places {
--- a/ticket/owner.go
+++ b/ticket/owner.go
@@ -33,7 +33,7 @@
 // Run means that the request starts now and may use Allowance retries.
 type Run struct{ Allowance int }
 
-// Join means that the request is running: the caller waits for its end and then asks for another decision.
+// Join means that the request is running: the caller waits until it ends and then requests a new decision.
 type Join struct{}
 
 // Replay means that the request has ended and that the caller gets its stored answer, whose body must not be modified.
